--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -215,7 +215,7 @@
 	for {
 		late := 0
 		for _, r := range f.hosts {
-			if r.host.Number() < number || !r.host.Ready() {
+			if r.host.NoteNumber() < number || !r.host.Ready() {
 				late++
 			}
 		}
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -129,8 +129,8 @@
 	fmt.Fprintf(f.config.Out, "probes per request %.4f; keys run twice %d; requests to the withdrawn target after note 2 was in force %d\n",
 		float64(probes)/float64(max(1, requests)), f.ledger.Doubled(), t.afterWithdraw)
 	for _, r := range f.hosts {
-		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.Number())
-		if r.host.Number() != 2 {
+		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.NoteNumber())
+		if r.host.NoteNumber() != 2 {
 			bad++
 		}
 	}
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -37,7 +37,7 @@
 		return
 	}
 	answer := address.Answer{
-		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.Number(),
+		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.NoteNumber(),
 		Grant: h.claims.Grant(now).String(), GrantHost: h.Name(),
 	}
 	live := h.table.Live(now)
@@ -109,7 +109,7 @@
 func (h *Host) status() Status {
 	self := h.table.Self()
 	s := Status{
-		Host: self.Name, Domain: self.Domain, Incarnation: self.Incarnation, Ready: self.Ready, Leaving: self.Leaving, Note: h.Number(),
+		Host: self.Name, Domain: self.Domain, Incarnation: self.Incarnation, Ready: self.Ready, Leaving: self.Leaving, Note: h.NoteNumber(),
 		Peers: h.table.Peers(), Latency: h.histograms.Summaries(), Budget: h.budget.Usage(), Claims: h.claims.Size(),
 		Process: h.process(), Unwritten: h.book.Unwritten(),
 		Counters: Counters{
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -185,7 +185,7 @@
 	for time.Since(start) < limit {
 		late := 0
 		for _, n := range f.nodes {
-			if n.host.Number() < number || !n.host.Ready() {
+			if n.host.NoteNumber() < number || !n.host.Ready() {
 				late++
 			}
 		}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -207,8 +207,8 @@
 // Name returns the host's name.
 func (h *Host) Name() string { return h.settings.Host.Name }
 
-// Number returns the number of the note in force.
-func (h *Host) Number() int { return h.chain.Number() }
+// NoteNumber returns the number of the note in force.
+func (h *Host) NoteNumber() int { return h.chain.Number() }
 
 // Ready reports whether the host may be in address answers.
 func (h *Host) Ready() bool { return h.table.Self().Ready }
--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -30,7 +30,7 @@
 		f.await(3, liveBound)
 		time.Sleep(10 * time.Second)
 		for _, n := range f.nodes {
-			f.is.Equal(n.host.Number(), 3)
+			f.is.Equal(n.host.NoteNumber(), 3)
 		}
 	})
 }
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -21,7 +21,7 @@
 	if r.Header.Get("Idempotency-Key") != "" {
 		refusal.Outcome = claim.Unknown
 	}
-	if f.host.Number() == 0 {
+	if f.host.NoteNumber() == 0 {
 		refusal.Status, refusal.Reason, refusal.RetryAfter = http.StatusServiceUnavailable, "NoNoteYet", time.Second
 	}
 	return refusal
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -82,8 +82,8 @@
 			number := f.publish(next(1))
 			time.Sleep(inForceBound)
 			f.is.Equal(len(f.nodes["entry-2"].host.table.Live(f.nodes["entry-2"].host.now())), 4)
-			f.is.Equal(f.nodes["entry-1"].host.Number(), 1)
-			f.is.Equal(f.nodes["entry-2"].host.Number(), number)
+			f.is.Equal(f.nodes["entry-1"].host.NoteNumber(), 1)
+			f.is.Equal(f.nodes["entry-2"].host.NoteNumber(), number)
 			parting(f.net.Heal)
 			return f.await(number, liveBound) + f.awaitLive(6, liveBound)
 		}},
