--- a/internal/entry/chain_test.go
+++ b/internal/entry/chain_test.go
@@ -14,17 +14,17 @@
 
 // Sizes and bound of the chain, from the stated target.
 const (
-	chainLayers  = 23
-	chainCalls   = 400
-	mostTries    = 1.2
-	chainTargets = 2
+	chainLayers   = 23
+	chainRequests = 400
+	maxAttempts   = 1.2
+	chainTargets  = 2
 )
 
 // TestRetriesDoNotMultiply sends calls through 23 layers whose last one always fails.
 func TestRetriesDoNotMultiply(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+	withFleet(t, func(f *fleet) {
 		host := f.start("entry-1", "a")
-		var tries [chainLayers]atomic.Int64
+		var attempts [chainLayers]atomic.Int64
 		var text strings.Builder
 		text.WriteString("[Note]\nFollows = 0\nOperator = test\nReason = chain\n")
 		client := &http.Transport{DialContext: f.net.Dialer("layers"), MaxIdleConnsPerHost: 64}
@@ -32,20 +32,20 @@
 			fmt.Fprintf(&text, "[Service s%d]\n[Rule r%d]\nPath = /%d/\nService = s%d\nDeadline = 5s\n", layer, layer, layer, layer)
 			for i := range chainTargets {
 				address := f.serve(fmt.Sprintf("layer-%d-%d", layer, i), "", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					tries[layer].Add(1)
+					attempts[layer].Add(1)
 					if layer == chainLayers-1 {
 						w.WriteHeader(http.StatusBadGateway)
 						return
 					}
-					passOnCall(f, w, r, client, host, layer+1)
+					callNextLayer(f, w, r, client, host, layer+1)
 				}))
 				fmt.Fprintf(&text, "[Target t%d-%d]\nService = s%d\nAddress = %s\nDomain = a\n", layer, i, layer, address)
 			}
 		}
 		f.publish(text.String())
-		f.await(1, 5*time.Second)
+		f.awaitNote(1, 5*time.Second)
 		var group sync.WaitGroup
-		for range chainCalls {
+		for range chainRequests {
 			group.Go(func() {
 				response, _, err := f.send(host, http.MethodGet, "/0/x", "", nil)
 				f.is.NoErr(err)
@@ -55,21 +55,21 @@
 		}
 		group.Wait()
 		sum := int64(0)
-		for layer := range tries {
-			sum += tries[layer].Load()
+		for layer := range attempts {
+			sum += attempts[layer].Load()
 		}
-		leaf := float64(tries[chainLayers-1].Load()) / chainCalls
-		all := float64(sum) / (chainCalls * chainLayers)
-		t.Logf("%d calls through %d layers: %.3f tries of the last layer a call, %.3f tries a layer and call", chainCalls, chainLayers, leaf, all)
-		f.is.True(leaf <= mostTries)
-		f.is.True(all <= mostTries)
-		f.is.True(leaf > 0.5) // the calls did reach the last layer
+		lastLayer := float64(attempts[chainLayers-1].Load()) / chainRequests
+		mean := float64(sum) / (chainRequests * chainLayers)
+		t.Logf("%d calls through %d layers: %.3f tries of the last layer a call, %.3f tries a layer and call", chainRequests, chainLayers, lastLayer, mean)
+		f.is.True(lastLayer <= maxAttempts)
+		f.is.True(mean <= maxAttempts)
+		f.is.True(lastLayer > 0.5) // the calls did reach the last layer
 		client.CloseIdleConnections()
 	})
 }
 
-// passOnCall calls the next layer as a backend server should: with the deadline and the allowance it was given.
-func passOnCall(f *fleet, w http.ResponseWriter, r *http.Request, client *http.Transport, host *node, layer int) {
+// callNextLayer calls the next layer as a backend server should: with the deadline and the allowance it was given.
+func callNextLayer(f *fleet, w http.ResponseWriter, r *http.Request, client *http.Transport, host *node, layer int) {
 	call, err := http.NewRequestWithContext(r.Context(), http.MethodGet, fmt.Sprintf("http://%s/%d/x", host.listen, layer), nil)
 	f.is.NoErr(err)
 	for _, name := range []string{steering.HeaderDeadline, steering.HeaderAllowance} {
--- a/internal/entry/explain_test.go
+++ b/internal/entry/explain_test.go
@@ -13,56 +13,56 @@
 
 // TestRecordsRebuildEligibility rebuilds which targets could be chosen from the records alone.
 func TestRecordsRebuildEligibility(t *testing.T) {
-	fail := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	behave := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		if b.name == "target-2" && r.URL.Path == "/bad" {
 			panic(http.ErrAbortHandler)
 		}
-		work(b, w, r, body)
+		echo(b, w, r, body)
 	}
-	type instant struct {
+	type observation struct {
 		at    time.Time
 		names []string
 	}
-	inService(t, 2, 5, fail, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 2, 5, behave, func(f *fleet, _ []*fakeBackend) {
 		h := f.nodes["entry-1"].host
-		var seen []instant
-		look := func() {
+		var observations []observation
+		observe := func() {
 			time.Sleep(30 * time.Millisecond)
-			seen = append(seen, instant{time.Now(), h.dispatcher.Services()["s"].Eligible()})
+			observations = append(observations, observation{time.Now(), h.dispatcher.Services()["s"].Eligible()})
 			time.Sleep(30 * time.Millisecond)
 		}
-		look()
+		observe()
 		for i := range 60 {
 			_, _, _ = f.send(f.nodes["entry-1"], http.MethodPost, "/bad", fmt.Sprint(i), nil)
 			if i%10 == 0 {
-				look()
+				observe()
 			}
 		}
 		f.publish("[Note]\nFollows = 1\nOperator = test\nReason = withdraw\n[Withdraw]\nTargets = target-4\n")
-		f.await(2, inForceBound)
-		look()
+		f.awaitNote(2, noteBound)
+		observe()
 		time.Sleep(5 * time.Second)
-		look()
+		observe()
 		records := h.records.Since("", time.Time{})
 		kinds := map[string]bool{}
 		for _, r := range records {
 			kinds[r.Cause] = true
 		}
 		f.is.True(kinds["FailuresInARow"] && kinds["WithdrawnByNote"])
-		forgotten := func(r record.Record) bool { return r.Kind == record.TargetForgotten && r.Target == "target-4" }
-		f.is.True(slices.ContainsFunc(records, forgotten))
-		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), forgotten)) // on an idle host too
-		changed := map[int]bool{}
-		for _, i := range seen {
+		isForgotten := func(r record.Record) bool { return r.Kind == record.TargetForgotten && r.Target == "target-4" }
+		f.is.True(slices.ContainsFunc(records, isForgotten))
+		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), isForgotten)) // on an idle host too
+		targetCounts := map[int]bool{}
+		for _, i := range observations {
 			f.is.Equal(record.Eligible(records, "s", i.at), i.names) // rebuilt from records
-			changed[len(i.names)] = true
+			targetCounts[len(i.names)] = true
 		}
-		f.is.True(len(changed) >= 3) // the check saw targets go
+		f.is.True(len(targetCounts) >= 3) // the check saw targets go
 	})
 }
 
-// TestJoinMovesFewServices compares the services that a join or a leave moves with the least possible.
-func TestJoinMovesFewServices(t *testing.T) {
+// TestJoinMovesFewHomes compares the services that a join or a leave moves with the least possible.
+func TestJoinMovesFewHomes(t *testing.T) {
 	const services = 1000
 	var members []host.Member
 	for i := range 13 {
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -15,13 +15,13 @@
 	"briarcroft/internal/steering"
 )
 
-// inService runs a test with hosts and backend servers whose note is in force everywhere.
-func inService(t *testing.T, hosts, targets int, behave func(*fakeBackend, http.ResponseWriter, *http.Request, string), run func(f *fleet, backends []*fakeBackend)) {
-	inFleet(t, func(f *fleet) {
+// withFleetServing runs a test with hosts and backend servers whose note is in force everywhere.
+func withFleetServing(t *testing.T, hosts, targets int, behave func(*fakeBackend, http.ResponseWriter, *http.Request, string), run func(f *fleet, backends []*fakeBackend)) {
+	withFleet(t, func(f *fleet) {
 		f.startAll(hosts)
 		backends, text := f.backends(targets, behave)
 		f.publish(text)
-		f.await(1, 10*time.Second)
+		f.awaitNote(1, 10*time.Second)
 		if hosts <= 64 {
 			f.awaitPeers(10 * time.Second)
 		}
@@ -29,8 +29,8 @@
 	})
 }
 
-// warm sends reads so that connections are open and latencies known.
-func (f *fleet) warm(host *node, count int) {
+// warmUp sends reads so that connections are open and latencies known.
+func (f *fleet) warmUp(host *node, count int) {
 	var group sync.WaitGroup
 	for i := range count {
 		group.Go(func() { _, _, _ = f.send(host, http.MethodGet, fmt.Sprintf("/warm-%d", i), "", nil) })
@@ -40,9 +40,9 @@
 }
 
 func TestSilentConnections(t *testing.T) {
-	inService(t, 1, 4, work, func(f *fleet, backends []*fakeBackend) {
+	withFleetServing(t, 1, 4, echo, func(f *fleet, backends []*fakeBackend) {
 		host := f.nodes["entry-1"]
-		f.warm(host, 200)
+		f.warmUp(host, 200)
 		silenced := 0
 		for _, b := range backends {
 			silenced += f.net.Silence("entry-1", b.name)
@@ -66,15 +66,15 @@
 	})
 }
 
-func TestPoisonousRequestIsQuarantined(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	poison := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-		b.ran(r)
+		b.recordRun(r)
 		if r.URL.Path == "/poison" {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = fmt.Fprint(w, "well")
 	}
-	inService(t, 3, 6, poison, func(f *fleet, backends []*fakeBackend) {
+	withFleetServing(t, 3, 6, poison, func(f *fleet, backends []*fakeBackend) {
 		statuses := map[int]int{}
 		for i := range 30 {
 			response, _, err := f.send(f.nodes[f.order[i%3]], http.MethodGet, "/poison", "", nil)
@@ -84,7 +84,7 @@
 		}
 		crashes := 0
 		for _, b := range backends {
-			crashes += b.count()
+			crashes += b.totalRuns()
 		}
 		t.Logf("30 sends of a crashing request broke %d connections; statuses %v", crashes, statuses)
 		f.is.True(crashes <= 4)                                                           // two per host that had not heard of it yet
@@ -99,12 +99,12 @@
 // documentBytes is the size of a large answer.
 const documentBytes = 1 << 20
 
-// document answers with a large body; the first answer of each server is cut in the middle.
-func document(etag string) func(*fakeBackend, http.ResponseWriter, *http.Request, string) {
+// truncatingDocument answers with a large body; the first answer of each server is cut in the middle.
+func truncatingDocument(etag string) func(*fakeBackend, http.ResponseWriter, *http.Request, string) {
 	text := strings.Repeat("0123456789abcdef", documentBytes/16)
 	var once sync.Once
 	return func(b *fakeBackend, w http.ResponseWriter, r *http.Request, _ string) {
-		b.ran(r)
+		b.recordRun(r)
 		w.Header().Set("Accept-Ranges", "bytes")
 		w.Header().Set("ETag", etag)
 		start := 0
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestCutAnswers(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	cases := []struct {
 		name, etag string
 		whole      bool
@@ -137,7 +137,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inService(t, 1, 2, document(c.etag), func(f *fleet, _ []*fakeBackend) {
+			withFleetServing(t, 1, 2, truncatingDocument(c.etag), func(f *fleet, _ []*fakeBackend) {
 				_, body, err := f.send(f.nodes["entry-1"], http.MethodGet, "/scan", "", nil)
 				f.is.Equal(err == nil, c.whole)
 				if c.whole {
@@ -148,19 +148,19 @@
 	}
 }
 
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	var leaving sync.Map
 	behave := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		switch sign, _ := leaving.Load(b.name); sign {
 		case "report":
 			w.Header().Set(steering.HeaderDraining, "true")
 		case "refusal":
-			b.ran(r)
+			b.recordRun(r)
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		work(b, w, r, body)
+		echo(b, w, r, body)
 	}
 	cases := []struct {
 		sign string
@@ -177,7 +177,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.sign, func(t *testing.T) {
-			inService(t, 3, 4, behave, func(f *fleet, backends []*fakeBackend) {
+			withFleetServing(t, 3, 4, behave, func(f *fleet, backends []*fakeBackend) {
 				defer leaving.Clear()
 				gone := backends[0]
 				ctx, cancel := context.WithCancel(context.Background())
@@ -193,9 +193,9 @@
 				time.Sleep(time.Second)
 				c.give(f, gone)
 				time.Sleep(2 * time.Second)
-				before := gone.count()
+				before := gone.totalRuns()
 				time.Sleep(10 * time.Second)
-				f.is.Equal(gone.count(), before) // new work two seconds after the first sign
+				f.is.Equal(gone.totalRuns(), before) // new work two seconds after the first sign
 				f.is.True(before > 0)
 				cancel()
 				load.Wait()
@@ -204,8 +204,8 @@
 	}
 }
 
-func TestGracefulStopCutsNothing(t *testing.T) {
-	inService(t, 4, 4, work, func(f *fleet, _ []*fakeBackend) {
+func TestGracefulStopLosesNoRequest(t *testing.T) {
+	withFleetServing(t, 4, 4, echo, func(f *fleet, _ []*fakeBackend) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var load sync.WaitGroup
 		var mu sync.Mutex
@@ -238,11 +238,11 @@
 		time.Sleep(2 * time.Second)
 		cancel()
 		load.Wait()
-		f.forget(home)
+		f.remove(home)
 	})
 }
 
-func TestCallerWhoGoesAwayCancels(t *testing.T) {
+func TestCallerDisconnectCancels(t *testing.T) {
 	cancelled := make(chan bool, 1)
 	behave := func(_ *fakeBackend, _ http.ResponseWriter, r *http.Request, _ string) {
 		select {
@@ -252,7 +252,7 @@
 			cancelled <- false
 		}
 	}
-	inService(t, 1, 1, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 1, behave, func(f *fleet, _ []*fakeBackend) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		transport := &http.Transport{DialContext: f.net.Dialer("caller")}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -26,16 +26,16 @@
 
 // fleet is a set of entry hosts, backend servers and a platform on an in-memory network, in virtual time.
 type fleet struct {
-	is      *is.I
-	net     *fakenet.Network
-	store   *standin.Standin
-	archive *note.Archive
-	nodes   map[string]*node
-	order   []string
-	servers []*http.Server
-	closers []func()
-	limits  func(*settings.Settings)
-	running sync.WaitGroup
+	is             *is.I
+	net            *fakenet.Network
+	store          *standin.Standin
+	archive        *note.Archive
+	nodes          map[string]*node
+	order          []string
+	servers        []*http.Server
+	closers        []func()
+	adjustSettings func(*settings.Settings)
+	serving        sync.WaitGroup
 }
 
 // node is one entry host.
@@ -54,8 +54,8 @@
 	storeURL     = "http://" + storeAddress
 )
 
-// inFleet runs a test in virtual time with a platform and no hosts yet.
-func inFleet(t *testing.T, run func(f *fleet)) {
+// withFleet runs a test in virtual time with a platform and no hosts yet.
+func withFleet(t *testing.T, run func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), net: fakenet.New(), store: standin.New(), nodes: map[string]*node{}}
 		f.serve("store", storeAddress, f.store)
@@ -76,7 +76,7 @@
 	l := f.net.Listen(node, address)
 	server := &http.Server{Handler: handler}
 	f.servers = append(f.servers, server)
-	f.running.Go(func() { _ = server.Serve(l) })
+	f.serving.Go(func() { _ = server.Serve(l) })
 	return l.Addr().String()
 }
 
@@ -95,7 +95,7 @@
 	for _, s := range f.servers {
 		_ = s.Close()
 	}
-	f.running.Wait()
+	f.serving.Wait()
 	// Handlers that still sleep end before the test does.
 	time.Sleep(5 * time.Second)
 }
@@ -118,8 +118,8 @@
 			s.Peers.Seeds = append(s.Peers.Seeds, f.nodes[other].inner)
 		}
 	}
-	if f.limits != nil {
-		f.limits(&s)
+	if f.adjustSettings != nil {
+		f.adjustSettings(&s)
 	}
 	store, closeStore := f.openStore(name)
 	list, closeList := platform.NewHostList(platform.HostListConfig{URL: storeURL + "/Hosts", Timeout: time.Second, Dial: f.net.Dialer(name)})
@@ -167,8 +167,8 @@
 	return err
 }
 
-// forget takes a host that has ended out of the fleet.
-func (f *fleet) forget(name string) { delete(f.nodes, name) }
+// remove takes a host that has ended out of the fleet.
+func (f *fleet) remove(name string) { delete(f.nodes, name) }
 
 // publish accepts a note and returns its number.
 func (f *fleet) publish(text string) int {
@@ -179,8 +179,8 @@
 	return r.Number
 }
 
-// await waits until a note is in force and the host ready on every host, and returns how long it took.
-func (f *fleet) await(number int, limit time.Duration) time.Duration {
+// awaitNote waits until a note is in force and the host ready on every host, and returns how long it took.
+func (f *fleet) awaitNote(number int, limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
 		late := 0
@@ -234,7 +234,7 @@
 	mu      sync.Mutex
 	runs    map[string]int
 	total   int
-	behave  func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)
+	handler func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)
 	address string
 }
 
@@ -246,32 +246,32 @@
 	if r.URL.Path == "/Report" {
 		return
 	}
-	b.behave(b, w, r, string(text))
+	b.handler(b, w, r, string(text))
 }
 
-// ran counts a run of a keyed request.
-func (b *fakeBackend) ran(r *http.Request) {
+// recordRun counts a run of a keyed request.
+func (b *fakeBackend) recordRun(r *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[r.Header.Get("Idempotency-Key")]++
 	b.total++
 }
 
-func (b *fakeBackend) count() int {
+func (b *fakeBackend) totalRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total
 }
 
-func (b *fakeBackend) runsOf(key string) int {
+func (b *fakeBackend) runsWithKey(key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[key]
 }
 
-// work takes 5 ms and echoes the request.
-func work(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-	b.ran(r)
+// echo takes 5 ms and echoes the request.
+func echo(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	b.recordRun(r)
 	time.Sleep(5 * time.Millisecond)
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.Path, body)
 }
@@ -283,7 +283,7 @@
 	b.WriteString("[Note]\nFollows = 0\nOperator = test\nReason = first\n[Service s]\nReportPath = /Report\n" +
 		"[Rule read]\nPath = /\nService = s\nClass = read\nDeadline = 2s\nNotRunStatuses = 503\n")
 	for i := range count {
-		fake := &fakeBackend{name: fmt.Sprintf("target-%d", i+1), runs: map[string]int{}, behave: behave}
+		fake := &fakeBackend{name: fmt.Sprintf("target-%d", i+1), runs: map[string]int{}, handler: behave}
 		fake.address = f.serve(fake.name, "", fake)
 		list = append(list, fake)
 		fmt.Fprintf(&b, "[Target %s]\nService = s\nAddress = %s\nDomain = a\n", fake.name, fake.address)
--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -12,22 +12,22 @@
 	"briarcroft/internal/platform/standin"
 )
 
-// next returns the text of a note that follows the given one.
-func next(follows int) string {
+// followingNote returns the text of a note that follows the given one.
+func followingNote(follows int) string {
 	return fmt.Sprintf("[Note]\nFollows = %d\nOperator = test\nReason = next\n[Service extra-%d]\n", follows, follows)
 }
 
 // TestStaleStoreNeverLowersTheNote restarts a host while the store answers with old reads.
 func TestStaleStoreNeverLowersTheNote(t *testing.T) {
-	inService(t, 3, 2, work, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
 		old := f.store.Revision()
-		f.publish(next(1))
-		f.publish(next(2))
-		f.await(3, inForceBound)
+		f.publish(followingNote(1))
+		f.publish(followingNote(2))
+		f.awaitNote(3, noteBound)
 		f.store.SetFaults(standin.Faults{StaleRevision: old, SilentWatches: true})
 		f.crash("entry-3")
 		f.start("entry-3", "")
-		f.await(3, liveBound)
+		f.awaitNote(3, membershipBound)
 		time.Sleep(10 * time.Second)
 		for _, n := range f.nodes {
 			f.is.Equal(n.host.NoteNumber(), 3)
@@ -35,18 +35,18 @@
 	})
 }
 
-// TestNoteInForce measures how long a note takes to be in force on 13 hosts, with silent watches and lost messages too.
-func TestNoteInForce(t *testing.T) {
+// TestTimeUntilNoteInForce measures how long a note takes to be in force on 13 hosts, with silent watches and lost messages too.
+func TestTimeUntilNoteInForce(t *testing.T) {
 	cases := []struct {
 		name  string
 		hosts int
 		bound time.Duration
 		fail  func(f *fleet)
 	}{
-		{"all well", 13, inForceBound, func(*fleet) {}},
-		{"all well at the planned size", 40, plannedBound, func(*fleet) {}},
-		{"watches silent", 13, inForceBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SilentWatches: true}) }},
-		{"a third of the links lost", 13, inForceBound, func(f *fleet) {
+		{"all well", 13, noteBound, func(*fleet) {}},
+		{"all well at the planned size", 40, plannedSizeNoteBound, func(*fleet) {}},
+		{"watches silent", 13, noteBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SilentWatches: true}) }},
+		{"a third of the links lost", 13, noteBound, func(f *fleet) {
 			for i, a := range f.order {
 				for j, b := range f.order {
 					if (i*7+j*3)%3 == 0 && i < j {
@@ -58,13 +58,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inService(t, c.hosts, 2, work, func(f *fleet, _ []*fakeBackend) {
+			withFleetServing(t, c.hosts, 2, echo, func(f *fleet, _ []*fakeBackend) {
 				c.fail(f)
 				time.Sleep(3 * time.Second)
 				var times []time.Duration
 				for i := range 9 {
-					f.publish(next(1 + i))
-					times = append(times, f.await(2+i, 10*time.Second))
+					f.publish(followingNote(1 + i))
+					times = append(times, f.awaitNote(2+i, 10*time.Second))
 					time.Sleep(1300 * time.Millisecond)
 				}
 				slices.Sort(times)
@@ -83,7 +83,7 @@
 	}
 	rates := map[int]float64{}
 	for _, hosts := range sizes {
-		inService(t, hosts, 2, work, func(f *fleet, _ []*fakeBackend) {
+		withFleetServing(t, hosts, 2, echo, func(f *fleet, _ []*fakeBackend) {
 			time.Sleep(5 * time.Second)
 			before := totalCalls(f.store)
 			began := time.Now()
@@ -123,12 +123,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inService(t, 3, 2, work, func(f *fleet, _ []*fakeBackend) {
+			withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
 				for round := 1; round <= 5; round++ {
 					f.store.SetFaults(c.faults)
 					results := make(chan error, 2)
 					for operator := range 2 {
-						n, err := note.Parse("rival", []byte(next(round)))
+						n, err := note.Parse("rival", []byte(followingNote(round)))
 						f.is.NoErr(err)
 						n.Operator = fmt.Sprint(operator)
 						go func() {
@@ -143,7 +143,7 @@
 						}
 					}
 					f.is.Equal(accepted, 1) // exactly one of two rivals
-					f.await(round+1, 5*time.Second)
+					f.awaitNote(round+1, 5*time.Second)
 				}
 			})
 		})
--- a/internal/entry/protocol_test.go
+++ b/internal/entry/protocol_test.go
@@ -33,8 +33,8 @@
 	return certificate, key, pool
 }
 
-// TestProtocolsTowardsCallers speaks HTTP/1.1 and HTTP/2, with and without TLS, and goes beyond the limits.
-func TestProtocolsTowardsCallers(t *testing.T) {
+// TestCallerProtocols speaks HTTP/1.1 and HTTP/2, with and without TLS, and goes beyond the limits.
+func TestCallerProtocols(t *testing.T) {
 	is := is.New(t)
 	certificate, key, pool := writeCertificate(is, t.TempDir())
 	for _, encrypted := range []bool{false, true} {
@@ -88,11 +88,11 @@
 // the answer must come over a new one, from the same run.
 func TestSilentStreamIsReplaced(t *testing.T) {
 	slow := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-		b.ran(r)
+		b.recordRun(r)
 		time.Sleep(1500 * time.Millisecond)
 		_, _ = w.Write([]byte("slow"))
 	}
-	inService(t, 2, 1, slow, func(f *fleet, backends []*fakeBackend) {
+	withFleetServing(t, 2, 1, slow, func(f *fleet, backends []*fakeBackend) {
 		grant := f.nodes["entry-1"].host.idempotency.Grant(f.nodes["entry-1"].host.now()).String()
 		time.AfterFunc(300*time.Millisecond, func() { f.net.Silence("entry-1", "entry-2") })
 		began := time.Now()
@@ -100,19 +100,19 @@
 		f.is.NoErr(err)
 		f.is.Equal(response.StatusCode, http.StatusOK)
 		f.is.Equal(body, "slow")
-		f.is.Equal(backends[0].count(), 1)
+		f.is.Equal(backends[0].totalRuns(), 1)
 		f.is.True(time.Since(began) < 1600*time.Millisecond) // replaced while the request ran
 	})
 }
 
 // TestBodyLimit sends a keyed body beyond the limit: it must be refused as not run.
 func TestBodyLimit(t *testing.T) {
-	inFleet(t, func(f *fleet) {
-		f.limits = func(s *settings.Settings) { s.Limits.KeyedBodyBytes, s.Limits.BodyBytes = 100, 1000 }
+	withFleet(t, func(f *fleet) {
+		f.adjustSettings = func(s *settings.Settings) { s.Limits.KeyedBodyBytes, s.Limits.BodyBytes = 100, 1000 }
 		f.start("entry-1", "a")
-		backends, text := f.backends(1, work)
+		backends, text := f.backends(1, echo)
 		f.publish(text)
-		f.await(1, 5*time.Second)
+		f.awaitNote(1, 5*time.Second)
 		cases := []struct {
 			size   int
 			key    string
@@ -127,6 +127,6 @@
 			f.is.NoErr(err)
 			f.is.Equal(response.StatusCode, c.status)
 		}
-		f.is.Equal(backends[0].count(), 2)
+		f.is.Equal(backends[0].totalRuns(), 2)
 	})
 }
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -15,14 +15,14 @@
 
 // Bounds of recovery, from the stated targets.
 const (
-	inForceBound = 2 * time.Second
-	plannedBound = 12 * time.Second
-	// liveBound is how long a host that is gone may stay in answers, and one that is back may be missing.
-	liveBound = 5 * time.Second
+	noteBound            = 2 * time.Second
+	plannedSizeNoteBound = 12 * time.Second
+	// membershipBound is how long a host that is gone may stay in answers, and one that is back may be missing.
+	membershipBound = 5 * time.Second
 )
 
-// serves checks that a caller gets an answer.
-func (f *fleet) serves(seed uint64) {
+// expectServing checks that a caller gets an answer.
+func (f *fleet) expectServing(seed uint64) {
 	answer, err := f.newCaller(seed).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodGet, Path: "/serves"})
 	f.is.NoErr(err)
 	f.is.Equal(answer.Status, http.StatusOK)
@@ -52,13 +52,13 @@
 	}{
 		{"host killed", func(f *fleet) time.Duration {
 			f.crash("entry-2")
-			f.forget("entry-2")
-			return f.awaitLive(5, liveBound)
+			f.remove("entry-2")
+			return f.awaitLive(5, membershipBound)
 		}},
 		{"host replaced with the same address", func(f *fleet) time.Duration {
 			f.crash("entry-2")
 			f.start("entry-2", "")
-			return f.await(1, liveBound) + f.awaitLive(6, liveBound)
+			return f.awaitNote(1, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
 		{"half the hosts replaced at once", func(f *fleet) time.Duration {
 			for _, name := range []string{"entry-1", "entry-3", "entry-5"} {
@@ -67,7 +67,7 @@
 			for _, name := range []string{"entry-1", "entry-3", "entry-5"} {
 				f.start(name, "")
 			}
-			return f.await(1, liveBound) + f.awaitLive(6, liveBound)
+			return f.awaitNote(1, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
 		{"failure domain cut off and healed", func(f *fleet) time.Duration {
 			parting := func(change func(a, b string)) {
@@ -79,25 +79,25 @@
 			}
 			parting(f.net.Part)
 			time.Sleep(20 * time.Second)
-			number := f.publish(next(1))
-			time.Sleep(inForceBound)
+			number := f.publish(followingNote(1))
+			time.Sleep(noteBound)
 			f.is.Equal(len(f.nodes["entry-2"].host.table.Live(f.nodes["entry-2"].host.now())), 4)
 			f.is.Equal(f.nodes["entry-1"].host.NoteNumber(), 1)
 			f.is.Equal(f.nodes["entry-2"].host.NoteNumber(), number)
 			parting(f.net.Heal)
-			return f.await(number, liveBound) + f.awaitLive(6, liveBound)
+			return f.awaitNote(number, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
 		{"store slow, two seconds a call", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Delay: 2 * time.Second})
 			f.crash("entry-2")
 			f.start("entry-2", "")
-			return f.await(1, liveBound) + f.awaitLive(6, liveBound)
+			return f.awaitNote(1, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
 		{"store down and a host replaced", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Down: true})
 			f.crash("entry-6")
 			f.start("entry-6", "")
-			return f.await(1, liveBound) + f.awaitLive(6, liveBound)
+			return f.awaitNote(1, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
 		{"store down while a domain is cut off", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Down: true})
@@ -106,68 +106,68 @@
 				f.net.Part("entry-4", b)
 			}
 			time.Sleep(10 * time.Second)
-			f.serves(3)
+			f.expectServing(3)
 			for _, b := range []string{"entry-2", "entry-3", "entry-5", "entry-6"} {
 				f.net.Heal("entry-1", b)
 				f.net.Heal("entry-4", b)
 			}
-			return f.awaitLive(6, liveBound)
+			return f.awaitLive(6, membershipBound)
 		}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { recovers(t, c.fail) })
+		t.Run(c.name, func(t *testing.T) { expectRecovery(t, c.fail) })
 	}
 }
 
 // TestRecoveryFromOneWaySilence makes every connection between hosts silent in one direction, just before a note.
 func TestRecoveryFromOneWaySilence(t *testing.T) {
-	recovers(t, func(f *fleet) time.Duration {
+	expectRecovery(t, func(f *fleet) time.Duration {
 		for i, a := range f.order {
 			for _, b := range f.order[i:] {
 				f.net.SilenceOneWay(a, b)
 			}
 		}
-		number := f.publish(next(1))
-		return f.await(number, inForceBound) + f.awaitLive(6, liveBound)
+		number := f.publish(followingNote(1))
+		return f.awaitNote(number, noteBound) + f.awaitLive(6, membershipBound)
 	})
 }
 
-// recovers brings about a failure in a fleet and checks that it serves again in time.
-func recovers(t *testing.T, fail func(f *fleet) time.Duration) {
-	inService(t, 6, 3, work, func(f *fleet, _ []*fakeBackend) {
+// expectRecovery brings about a failure in a fleet and checks that it serves again in time.
+func expectRecovery(t *testing.T, fail func(f *fleet) time.Duration) {
+	withFleetServing(t, 6, 3, echo, func(f *fleet, _ []*fakeBackend) {
 		took := fail(f)
 		t.Logf("recovered after %v", took)
-		f.is.True(took <= liveBound)
-		f.serves(1)
+		f.is.True(took <= membershipBound)
+		f.expectServing(1)
 	})
 }
 
 // TestStoreDownForAnHour replaces every host, one after another, while the store is down, and publishes after it.
 func TestStoreDownForAnHour(t *testing.T) {
-	inService(t, 4, 3, work, func(f *fleet, _ []*fakeBackend) {
-		f.publish(next(1))
-		f.await(2, inForceBound)
+	withFleetServing(t, 4, 3, echo, func(f *fleet, _ []*fakeBackend) {
+		f.publish(followingNote(1))
+		f.awaitNote(2, noteBound)
 		f.store.SetFaults(standin.Faults{Down: true})
 		for _, name := range f.order {
 			time.Sleep(15 * time.Minute)
 			f.crash(name)
 			f.start(name, "")
-			took := f.await(2, liveBound)
+			took := f.awaitNote(2, membershipBound)
 			t.Logf("%s replaced while the store was down: ready after %v", name, took)
-			f.serves(uint64(len(name)))
+			f.expectServing(uint64(len(name)))
 		}
 		f.store.SetFaults(standin.Faults{})
-		f.publish(next(2))
-		t.Logf("note 3 in force %v after the store returned", f.await(3, inForceBound))
+		f.publish(followingNote(2))
+		t.Logf("note 3 in force %v after the store returned", f.awaitNote(3, noteBound))
 	})
 }
 
 // TestAllSeedsReplaced replaces hosts one after another, each time at a new address, until no seed of the settings lives:
 // newcomers must find the others by the platform's host list.
 func TestAllSeedsReplaced(t *testing.T) {
-	inService(t, 3, 2, work, func(f *fleet, _ []*fakeBackend) {
-		f.publish(next(1))
-		f.await(2, inForceBound)
+	withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
+		f.publish(followingNote(1))
+		f.awaitNote(2, noteBound)
 		for i := range 3 {
 			gone := fmt.Sprintf("entry-%d", i+1)
 			var list []platform.ListedHost
@@ -176,19 +176,19 @@
 			}
 			f.store.SetHosts(list) // it lags: it still holds the host that goes
 			f.crash(gone)
-			f.forget(gone)
-			f.limits = func(s *settings.Settings) { s.Peers.Seeds = []string{"10.9.9.9:1"} }
+			f.remove(gone)
+			f.adjustSettings = func(s *settings.Settings) { s.Peers.Seeds = []string{"10.9.9.9:1"} }
 			f.start(fmt.Sprintf("new-%d", i+1), "a")
-			f.await(2, liveBound)
-			t.Logf("new-%d and the others know each other after %v", i+1, f.awaitLive(3, 2*liveBound))
+			f.awaitNote(2, membershipBound)
+			t.Logf("new-%d and the others know each other after %v", i+1, f.awaitLive(3, 2*membershipBound))
 		}
-		f.serves(1)
+		f.expectServing(1)
 	})
 }
 
-// TestStartWithNothing checks that a host that reaches neither store nor peers is not ready and serves nothing as if it were.
-func TestStartWithNothing(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// TestStartWithoutStoreAndPeers checks that a host that reaches neither store nor peers is not ready and serves nothing as if it were.
+func TestStartWithoutStoreAndPeers(t *testing.T) {
+	withFleet(t, func(f *fleet) {
 		f.store.SetFaults(standin.Faults{Down: true})
 		n := f.start("entry-1", "a")
 		time.Sleep(10 * time.Second)
--- a/internal/entry/serve_test.go
+++ b/internal/entry/serve_test.go
@@ -12,8 +12,8 @@
 	"briarcroft/internal/steering"
 )
 
-// TestAnswersArePassedOnAsTheyAre checks answers without a body, of unknown length, and header fields of one hop.
-func TestAnswersArePassedOnAsTheyAre(t *testing.T) {
+// TestResponsesAreForwardedUnchanged checks answers without a body, of unknown length, and header fields of one hop.
+func TestResponsesAreForwardedUnchanged(t *testing.T) {
 	behave := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		w.Header().Set("Keep-Alive", "timeout=5")
 		w.Header().Set("X-Hop", r.Header.Get("X-Hop"))
@@ -44,7 +44,7 @@
 		{"PUT", "/a//b/../c?d=%20e", "text", http.StatusTeapot, "/a//b/../c?d=%20etext", 21},
 		{"POST", "/x", strings.Repeat("y", maxReplayBytes+1), http.StatusTeapot, "/x" + strings.Repeat("y", maxReplayBytes+1), -2},
 	}
-	inService(t, 1, 2, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 2, behave, func(f *fleet, _ []*fakeBackend) {
 		for _, c := range cases {
 			response, body, err := f.send(f.nodes["entry-1"], c.method, c.path, c.body, map[string]string{"Connection": "X-Hop", "X-Hop": "secret"})
 			f.is.NoErr(err)
@@ -73,7 +73,7 @@
 			time.Sleep(time.Second)
 		}
 	}
-	inService(t, 1, 1, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 1, behave, func(f *fleet, _ []*fakeBackend) {
 		began := time.Now()
 		_, body, err := f.send(f.nodes["entry-1"], http.MethodGet, "/slow", "", nil)
 		f.is.NoErr(err)
@@ -91,7 +91,7 @@
 
 // TestStalledCallerLosesItsConnection checks that a caller who takes no byte holds neither the host nor a slot.
 func TestStalledCallerLosesItsConnection(t *testing.T) {
-	inService(t, 1, 1, document(`"v"`), func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 1, truncatingDocument(`"v"`), func(f *fleet, _ []*fakeBackend) {
 		conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.nodes["entry-1"].listen)
 		f.is.NoErr(err)
 		_, err = conn.Write([]byte("GET /scan HTTP/1.1\r\nHost: x\r\n\r\n"))
@@ -103,12 +103,12 @@
 	})
 }
 
-func TestFleetServes(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+func TestFleetServesRequests(t *testing.T) {
+	withFleet(t, func(f *fleet) {
 		f.startAll(3)
-		backends, text := f.backends(2, work)
+		backends, text := f.backends(2, echo)
 		f.is.Equal(f.publish(text), 1)
-		f.is.True(f.await(1, 5*time.Second) < 2*time.Second)
+		f.is.True(f.awaitNote(1, 5*time.Second) < 2*time.Second)
 		f.awaitPeers(5 * time.Second)
 		response, body, err := f.send(f.nodes["entry-2"], http.MethodGet, "/x", "", nil)
 		f.is.NoErr(err)
@@ -118,6 +118,6 @@
 		answer, err := f.newCaller(1).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodPost, Path: "/y", Body: []byte("b"), Once: true})
 		f.is.NoErr(err)
 		f.is.Equal(string(answer.Body), "POST /y b")
-		f.is.Equal(backends[0].runsOf(answer.Keys[0])+backends[1].runsOf(answer.Keys[0]), 1)
+		f.is.Equal(backends[0].runsWithKey(answer.Keys[0])+backends[1].runsWithKey(answer.Keys[0]), 1)
 	})
 }
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			inFleet(t, func(f *fleet) { newSoak(t, f, seed).run(requests) })
+			withFleet(t, func(f *fleet) { newSoak(t, f, seed).run(requests) })
 		})
 	}
 }
@@ -46,12 +46,12 @@
 	sends    int
 	outcomes map[string]int
 	faults   map[string]int
-	// down holds the hosts that are being replaced.
-	down map[string]bool
+	// replacing holds the hosts that are being replaced.
+	replacing map[string]bool
 }
 
 func newSoak(t *testing.T, f *fleet, seed uint64) *soak {
-	return &soak{t: t, f: f, random: rand.New(rand.NewPCG(seed, 9)), outcomes: map[string]int{}, faults: map[string]int{}, down: map[string]bool{}}
+	return &soak{t: t, f: f, random: rand.New(rand.NewPCG(seed, 9)), outcomes: map[string]int{}, faults: map[string]int{}, replacing: map[string]bool{}}
 }
 
 func (s *soak) intN(n int) int {
@@ -63,20 +63,20 @@
 func (s *soak) run(requests int) {
 	s.f.startAll(4)
 	var text string
-	s.backends, text = s.f.backends(5, s.misbehave)
+	s.backends, text = s.f.backends(5, s.faultyHandler)
 	s.f.publish(text)
-	s.f.await(1, 10*time.Second)
+	s.f.awaitNote(1, 10*time.Second)
 	s.f.awaitPeers(10 * time.Second)
 	stop, chaos := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(chaos)
-		s.chaos(stop)
+		s.injectFaults(stop)
 	}()
 	var callers sync.WaitGroup
 	for c := range soakCallers {
 		callers.Go(func() {
 			for i := range requests / soakCallers {
-				s.one(fmt.Sprintf("/%d-%d", c, i))
+				s.sendRepeatedly(fmt.Sprintf("/%d-%d", c, i))
 			}
 		})
 	}
@@ -87,8 +87,8 @@
 	s.t.Logf("%d requests, %d sends, outcomes %v, faults %v", requests, s.sends, s.outcomes, s.faults)
 }
 
-// misbehave is a backend server that breaks, cuts, delays and refuses now and then.
-func (s *soak) misbehave(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+// faultyHandler is a backend server that breaks, cuts, delays and refuses now and then.
+func (s *soak) faultyHandler(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 	answer := r.Method + " " + r.URL.Path + " " + body
 	switch n := s.intN(100); {
 	case n < 3:
@@ -97,37 +97,37 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case n < 9:
-		b.ran(r)
+		b.recordRun(r)
 		panic(http.ErrAbortHandler)
 	case n < 12:
-		b.ran(r)
+		b.recordRun(r)
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 		_, _ = w.Write([]byte(answer[:len(answer)/2]))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	case n < 14:
-		b.ran(r)
+		b.recordRun(r)
 		time.Sleep(2500 * time.Millisecond)
 	default:
-		b.ran(r)
+		b.recordRun(r)
 		time.Sleep(time.Duration(1+n%20) * time.Millisecond)
 	}
 	_, _ = w.Write([]byte(answer))
 }
 
-// runs returns how often a key was run on all backend servers.
-func (s *soak) runs(key string) int {
+// totalRuns returns how often a key was run on all backend servers.
+func (s *soak) totalRuns(key string) int {
 	sum := 0
 	for _, b := range s.backends {
-		sum += b.runsOf(key)
+		sum += b.runsWithKey(key)
 	}
 	return sum
 }
 
-// one sends one request with one key, again and again and sometimes twice at a time, and checks what came of it.
-func (s *soak) one(path string) {
+// sendRepeatedly sends one request with one key, again and again and sometimes twice at a time, and checks what came of it.
+func (s *soak) sendRepeatedly(path string) {
 	plain := s.intN(5) == 0
-	key := s.key(path, plain)
+	key := s.newKey(path, plain)
 	if key == "" {
 		time.Sleep(200 * time.Millisecond)
 		return
@@ -163,7 +163,7 @@
 		time.Sleep(time.Duration(s.intN(400)) * time.Millisecond)
 	}
 	group.Wait()
-	runs := s.runs(key)
+	runs := s.totalRuns(key)
 	if runs > 1 {
 		s.t.Errorf("%s with key %s ran %d times", path, key, runs)
 	}
@@ -175,12 +175,12 @@
 	}
 }
 
-// key returns a new key, plain or with a grant of a random host.
-func (s *soak) key(path string, plain bool) string {
+// newKey returns a new key, plain or with a grant of a random host.
+func (s *soak) newKey(path string, plain bool) string {
 	if plain {
 		return "plain" + strings.ReplaceAll(path, "/", "-")
 	}
-	response, body, err := s.f.send(s.host(), http.MethodGet, "/Addresses?Service=s", "", nil)
+	response, body, err := s.f.send(s.randomHost(), http.MethodGet, "/Addresses?Service=s", "", nil)
 	var answer address.Answer
 	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &answer) != nil {
 		return ""
@@ -188,7 +188,7 @@
 	return answer.Grant + "." + strings.ReplaceAll(path, "/", "-")
 }
 
-func (s *soak) host() *node {
+func (s *soak) randomHost() *node {
 	name := s.f.order[s.intN(len(s.f.order))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +197,7 @@
 
 // send sends a key to a random host and returns "answered", an outcome, or "broken".
 func (s *soak) send(key, path string) (outcome, trace string) {
-	host := s.host()
+	host := s.randomHost()
 	began := time.Now()
 	response, body, err := s.f.send(host, http.MethodPost, path, "body of "+path, map[string]string{"Idempotency-Key": key})
 	outcome, reason := "broken", ""
@@ -219,13 +219,13 @@
 	return outcome, trace
 }
 
-// chaos brings about two faults at a time until it is stopped.
-func (s *soak) chaos(stop <-chan struct{}) {
+// injectFaults brings about two faults at a time until it is stopped.
+func (s *soak) injectFaults(stop <-chan struct{}) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
 		for range 2 {
-			group.Go(s.fault)
+			group.Go(s.injectFault)
 		}
 		select {
 		case <-stop:
@@ -235,8 +235,8 @@
 	}
 }
 
-// fault brings about one fault and mends it again.
-func (s *soak) fault() {
+// injectFault brings about one fault and mends it again.
+func (s *soak) injectFault() {
 	a, b := s.f.order[s.intN(len(s.f.order))], s.f.order[s.intN(len(s.f.order))]
 	last := time.Duration(500+s.intN(4000)) * time.Millisecond
 	kind := []string{"crash", "stop", "silent backend", "silent peer", "parted", "store down", "store slow", "lost confirmation", "late write"}[s.intN(9)]
@@ -257,17 +257,17 @@
 			s.f.net.Heal(a, b)
 		}
 	case "store down":
-		s.store(standin.Faults{Down: true}, last)
+		s.breakStore(standin.Faults{Down: true}, last)
 	case "store slow":
-		s.store(standin.Faults{Delay: 700 * time.Millisecond}, last)
+		s.breakStore(standin.Faults{Delay: 700 * time.Millisecond}, last)
 	case "lost confirmation":
-		s.store(standin.Faults{LoseConfirmations: 5}, last)
+		s.breakStore(standin.Faults{LoseConfirmations: 5}, last)
 	case "late write":
-		s.store(standin.Faults{LateWrites: 3, LateBy: last / 2}, last)
+		s.breakStore(standin.Faults{LateWrites: 3, LateBy: last / 2}, last)
 	}
 }
 
-func (s *soak) store(faults standin.Faults, last time.Duration) {
+func (s *soak) breakStore(faults standin.Faults, last time.Duration) {
 	s.f.store.SetFaults(faults)
 	time.Sleep(last)
 	s.f.store.SetFaults(standin.Faults{})
@@ -276,11 +276,11 @@
 // replace ends a host and starts another in its place, with the same name and addresses.
 func (s *soak) replace(name, kind string, after time.Duration) {
 	s.mu.Lock()
-	if s.down[name] || len(s.down) > 1 {
+	if s.replacing[name] || len(s.replacing) > 1 {
 		s.mu.Unlock()
 		return
 	}
-	s.down[name] = true
+	s.replacing[name] = true
 	s.mu.Unlock()
 	if kind == "crash" {
 		s.f.crash(name)
@@ -291,5 +291,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.f.start(name, "")
-	delete(s.down, name)
+	delete(s.replacing, name)
 }
