--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -31,7 +31,7 @@
 		domain = h.settings.Host.Domain
 	}
 	now := h.now()
-	if h.table.Overdue(now) {
+	if h.membership.Overdue(now) {
 		// This host was paused and has not yet compared itself with its peers.
 		f.writeRefusal(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
 		return
@@ -40,15 +40,15 @@
 		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.NoteNumber(),
 		Grant: h.idempotency.Grant(now).String(), GrantHost: h.Name(),
 	}
-	live := h.table.Live(now)
-	if len(live) == 0 || h.table.Isolated(now) {
+	live := h.membership.Live(now)
+	if len(live) == 0 || h.membership.Isolated(now) {
 		answer.MaxAge = isolatedMaxAge
 	}
 	for _, m := range host.Homes(name, host.Wanted(name, service.Homes, live), domain, h.settings.Host.Region, live) {
 		answer.Addresses = append(answer.Addresses, toAddress(m))
 	}
 	if len(answer.Addresses) == 0 {
-		answer.Addresses = append(answer.Addresses, toAddress(h.table.Self()))
+		answer.Addresses = append(answer.Addresses, toAddress(h.membership.Self()))
 	}
 	page.Write(w, http.StatusOK, answer)
 }
@@ -75,12 +75,12 @@
 }
 
 func (f *frontend) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	self := f.host.table.Self()
+	self := f.host.membership.Self()
 	status := http.StatusOK
 	if !self.Ready || self.Leaving {
 		status = http.StatusServiceUnavailable
 	}
-	page.Write(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.table.Isolated(f.host.now()), self.Note})
+	page.Write(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.membership.Isolated(f.host.now()), self.Note})
 }
 
 // Status is everything that one host tells of itself.
@@ -107,10 +107,10 @@
 }
 
 func (h *Host) status() Status {
-	self := h.table.Self()
+	self := h.membership.Self()
 	s := Status{
 		Host: self.Name, Domain: self.Domain, Incarnation: self.Incarnation, Ready: self.Ready, Leaving: self.Leaving, Note: h.NoteNumber(),
-		Peers: h.table.Peers(), Latency: h.histograms.Summaries(), Budget: h.budget.Usage(), Claims: h.idempotency.Size(),
+		Peers: h.membership.Peers(), Latency: h.histograms.Summaries(), Budget: h.budget.Usage(), Claims: h.idempotency.Size(),
 		Process: h.processStatus(), Unwritten: h.records.Unwritten(),
 		Counters: Counters{
 			h.stats.requests.Load(), h.stats.forwarded.Load(), h.stats.stored.Load(), h.stats.joined.Load(), h.stats.refused.Load(), h.stats.truncated.Load(),
--- a/internal/entry/counts.go
+++ b/internal/entry/counts.go
@@ -11,23 +11,27 @@
 	"briarcroft/internal/meter"
 )
 
-// Times and sizes of the exchange of counts.
+// Times and sizes of the exchange of in-flight counts between the homes of a service.
 const (
+	// countsInterval is the shortest time between two pushes of changed counts.
 	countsInterval = 25 * time.Millisecond
-	countsTimeout  = 250 * time.Millisecond
-	// idleCountsInterval is how often to look whether any service has several homes.
+	// countsTimeout bounds one push to all peers.
+	countsTimeout = 250 * time.Millisecond
+	// idleCountsInterval is how often to check, while no service has several homes, whether one has got them.
 	idleCountsInterval = time.Second
-	bytesPerCount      = 24
-	countsMaxAge       = time.Second
+	// bytesPerCount is the size of one count on the network as charged to the measuring budget.
+	bytesPerCount = 24
+	// countsMaxAge is how long counts are used after they were received.
+	countsMaxAge = time.Second
 )
 
-// peerCounts holds the other entry hosts' requests in flight.
+// peerCounts holds the requests in flight of the other entry hosts. It is safe for concurrent use.
 type peerCounts struct {
 	mu     sync.Mutex
 	byHost map[string]hostCounts
 }
 
-// hostCounts is what one peer pushed last, and when.
+// hostCounts is the latest push of one peer: requests in flight by target, and when it was received.
 type hostCounts struct {
 	incarnation, sequence uint64
 	receivedAt            time.Duration
@@ -38,7 +42,7 @@
 	return &peerCounts{byHost: map[string]hostCounts{}}
 }
 
-// store stores what a peer pushed, unless something newer came before.
+// store keeps the counts that a peer pushed, unless a later push of the same incarnation has already arrived.
 func (p *peerCounts) store(now time.Duration, r *inner.CountsRequest) {
 	counts := hostCounts{r.Incarnation, r.Sequence, now, map[string]int{}}
 	for i, target := range r.Targets {
@@ -55,7 +59,7 @@
 	p.byHost[r.Sender] = counts
 }
 
-// sum returns all peers' fresh requests in flight on a target.
+// sum returns the requests in flight on a target over all peers whose counts are recent.
 func (p *peerCounts) sum(now time.Duration, target string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,7 +72,8 @@
 	return sum
 }
 
-// countsLoop pushes own requests in flight to the other homes of the services that have several.
+// countsLoop pushes this host's requests in flight to the other homes of services that have several, whenever the
+// counts have changed.
 func (h *Host) countsLoop(ctx context.Context) {
 	var sequence uint64
 	last := map[string]int{}
@@ -92,7 +97,7 @@
 
 // sharedServices returns the services that have several homes.
 func (h *Host) sharedServices() map[string]bool {
-	live := h.table.Live(h.now())
+	live := h.membership.Live(h.now())
 	shared := map[string]bool{}
 	for _, s := range h.dispatcher.Configuration().Services {
 		if host.Wanted(s.Name, s.Homes, live) > 1 {
@@ -102,7 +107,8 @@
 	return shared
 }
 
-// collectCounts returns own requests in flight on targets of services that have other homes too.
+// collectCounts returns this host's requests in flight by target, for the services in shared, and whether they differ
+// from last.
 func (h *Host) collectCounts(shared map[string]bool, last map[string]int) (bool, map[string]int) {
 	counts := map[string]int{}
 	for _, service := range h.dispatcher.Services() {
@@ -131,16 +137,16 @@
 			continue
 		}
 		group.Go(func() {
-			// A lost push is made up for by the next one.
+			// A failed push is not repeated: the next one replaces it.
 			_, _ = h.client.Peer(ctx, m.Inner).Counts(ctx, request)
 		})
 	}
 	group.Wait()
 }
 
-// otherHomes returns the hosts that are home, beside this one, to a service with several homes.
+// otherHomes returns the other hosts of this region that are a home of a service with several homes.
 func (h *Host) otherHomes() []host.Member {
-	live := h.table.Live(h.now())
+	live := h.membership.Live(h.now())
 	seen := map[string]bool{h.Name(): true}
 	var list []host.Member
 	for _, s := range h.dispatcher.Configuration().Services {
@@ -158,7 +164,7 @@
 	return list
 }
 
-// handleCounts takes in a peer's push.
+// handleCounts stores the counts that a peer pushed and gives each service the new totals of all peers.
 func (h *Host) handleCounts(r *inner.CountsRequest) {
 	started := time.Now()
 	h.peerCounts.store(h.now(), r)
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -8,15 +8,16 @@
 	"briarcroft/internal/host"
 )
 
-// demandInterval is how often the rates of the services are looked at.
+// demandInterval is the period over which the request rate of each service is measured.
 const demandInterval = time.Second
 
-// demandLoop asks for more homes for services whose rate here is more than one home carries well.
+// demandLoop measures the request rate of each service on this host and announces in the membership how many homes
+// a service needs when its rate is too high for the present number.
 func (h *Host) demandLoop(ctx context.Context) {
 	demand := host.NewDemand()
 	last := map[string]int64{}
 	for duty.Sleep(ctx, demandInterval) {
-		live := h.table.Live(h.now())
+		live := h.membership.Live(h.now())
 		for _, spec := range h.dispatcher.Configuration().Services {
 			service := h.dispatcher.Services()[spec.Name]
 			if service == nil {
@@ -27,6 +28,6 @@
 			last[spec.Name] = requests
 			demand.Observe(h.now(), spec.Name, rate, host.Wanted(spec.Name, spec.Homes, live))
 		}
-		h.table.SetWants(demand.Wants())
+		h.membership.SetWants(demand.Wants())
 	}
 }
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -204,7 +204,7 @@
 	for time.Since(start) < limit {
 		whole := true
 		for _, n := range f.nodes {
-			whole = whole && len(n.host.table.Live(n.host.now())) == len(f.nodes)
+			whole = whole && len(n.host.membership.Live(n.host.now())) == len(f.nodes)
 		}
 		if whole {
 			return time.Since(start)
--- a/internal/entry/frontend.go
+++ b/internal/entry/frontend.go
@@ -12,20 +12,22 @@
 	"briarcroft/internal/steering"
 )
 
-// Times and sizes of the front.
+// Limits of the frontend.
 const (
-	// stallTimeout is how long a caller may take no byte of an answer.
-	stallTimeout    = 15 * time.Second
+	// stallTimeout bounds one write of a response body to a caller, and the reading of a request body that is buffered.
+	stallTimeout = 15 * time.Second
+	// copyBufferBytes is the size of the buffers through which response bodies are streamed.
 	copyBufferBytes = 32 << 10
-	// maxReplayBytes is the largest request body that is held so that an idempotent request can be tried again.
+	// maxReplayBytes is the largest body of a request without a key that is buffered, so that it can be sent to another target.
 	maxReplayBytes = 64 << 10
-	// defaultRetryAllowance is how many more tries a request from outside and all that it causes may make.
+	// defaultRetryAllowance is how many further attempts a request and all calls it causes may make in total.
+	// Callers can only lower it, through the retry allowance header.
 	defaultRetryAllowance = 2
-	// maxRunTime bounds how long a request may take after it began.
+	// maxRunTime is the longest time for which the idempotency table expects a request to run.
 	maxRunTime = 5 * time.Minute
 )
 
-// reserved are the paths that the host answers itself.
+// Reserved paths, which the host answers itself instead of forwarding them to a target.
 const (
 	pathAddresses = "/Addresses"
 	pathNote      = "/Note"
@@ -35,7 +37,7 @@
 	pathVars      = "/debug/vars"
 )
 
-// frontend serves callers.
+// frontend is the HTTP handler for callers.
 type frontend struct {
 	host *Host
 	mux  *http.ServeMux
@@ -61,9 +63,10 @@
 	}
 }
 
-// ServeHTTP implements http.Handler: reserved paths go to the host's own mux and all others to a target.
+// ServeHTTP implements http.Handler: the host answers reserved paths itself and proxies all others to a target.
+// While the host is leaving, it closes HTTP/1.1 connections after each response so that callers connect to other hosts.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.host.table.Self().Leaving {
+	if f.host.membership.Self().Leaving {
 		w.Header().Set("Connection", "close")
 	}
 	switch r.URL.Path {
@@ -74,7 +77,8 @@
 	}
 }
 
-// proxyRequest carries a request to a target of the service that its rule names.
+// proxyRequest sends a request to a target of the service that the matching rule names, and returns its response.
+// It refuses a request whose fingerprint is in quarantine because it has crashed several targets.
 func (f *frontend) proxyRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	f.host.stats.requests.Add(1)
@@ -102,7 +106,8 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	// The deadline holds until the answer begins; from then on a stream may take its time as long as it moves.
+	// The deadline applies until the response begins. After that, a streamed body may take longer than the deadline;
+	// only the write time-out in copyBody limits it.
 	deadline := time.AfterFunc(time.Until(request.Deadline), cancel)
 	defer deadline.Stop()
 	result := service.Run(ctx, request)
@@ -110,7 +115,7 @@
 	f.writeResult(w, result)
 }
 
-// addRecord is a shorthand for records about this host.
+// addRecord adds an event record about this host, with the number of the note in force.
 func (h *Host) addRecord(kind record.Kind, cause string) {
 	h.records.Add(record.Record{Kind: kind, Cause: cause, Note: h.chain.Number()})
 }
--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -7,15 +7,17 @@
 	"briarcroft/internal/record"
 )
 
-// homeTracker remembers the first home of each service, to explain when it moves. Only the heartbeat duty uses it.
+// homeTracker keeps the primary home of each service, to record when it moves. A home is an entry host that callers
+// should connect to for a service. It is used by the heartbeat loop only and needs no lock.
 type homeTracker struct {
 	primary map[string]string
-	// live and note are what the homes were last computed from.
+	// live and note are the live hosts and the note number from which the homes were last computed.
 	live []host.Member
 	note int
 }
 
-// update reports whether the homes must be computed again: the live hosts, their wants or the note have changed.
+// update stores the note number and the live hosts, and reports whether the homes must be computed again because
+// the note, the set of live hosts or the numbers of homes that they want have changed.
 func (t *homeTracker) update(note int, live []host.Member) bool {
 	same := func(a, b host.Member) bool { return a.Name == b.Name && slices.Equal(a.Wants, b.Wants) }
 	if note == t.note && slices.EqualFunc(live, t.live, same) {
@@ -25,9 +27,9 @@
 	return true
 }
 
-// recordHomeMoves writes a record for each service whose first home has moved.
+// recordHomeMoves adds a record for each service whose primary home has moved to another host.
 func (h *Host) recordHomeMoves() {
-	live := h.table.Live(h.now())
+	live := h.membership.Live(h.now())
 	configuration := h.dispatcher.Configuration()
 	if !h.homes.update(configuration.Number, live) {
 		return
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -64,7 +64,7 @@
 	chain            *note.Chain
 	inForceSince     atomic.Int64
 	archive          *note.Archive
-	table            *host.Table
+	membership       *host.Table
 	heartbeats       *inner.Heartbeats
 	dispatcher       *steering.Steering
 	idempotency      *claim.Table
@@ -172,14 +172,14 @@
 	if announced == "" {
 		announced = h.peerListener.Addr().String()
 	}
-	h.table = host.New(host.Config{
+	h.membership = host.New(host.Config{
 		Self: host.Member{
 			Name: s.Host.Name, Listen: h.callerListener.Addr().String(), Inner: announced,
 			Domain: s.Host.Domain, Region: s.Host.Region, Incarnation: h.incarnation,
 		},
 		Seeds: s.Peers.Seeds, PerDomain: heartbeatPeersPerDomain, Random: rand.New(rand.NewPCG(h.incarnation, 2)),
 	})
-	h.heartbeats = &inner.Heartbeats{Table: h.table, Client: h.client, Now: h.now, Request: h.heartbeatRequest, Heard: h.handleHeartbeatReply}
+	h.heartbeats = &inner.Heartbeats{Table: h.membership, Client: h.client, Now: h.now, Request: h.heartbeatRequest, Heard: h.handleHeartbeatReply}
 	h.callerServer = h.newCallerServer()
 	return func() {
 		closeSteering()
@@ -211,7 +211,7 @@
 func (h *Host) NoteNumber() int { return h.chain.Number() }
 
 // Ready reports whether the host may be in address answers.
-func (h *Host) Ready() bool { return h.table.Self().Ready }
+func (h *Host) Ready() bool { return h.membership.Self().Ready }
 
 // Serve runs the host until stop ends, then stops gracefully; it returns at once when force ends.
 func (h *Host) Serve(stop, force context.Context) error {
--- a/internal/entry/hostlist.go
+++ b/internal/entry/hostlist.go
@@ -18,7 +18,7 @@
 			names[listed.Name] = true
 		}
 	}
-	h.table.TakeList(entryHosts, names)
+	h.membership.TakeList(entryHosts, names)
 	for _, t := range h.dispatcher.Configuration().Targets {
 		service := h.dispatcher.Services()[t.Service]
 		switch {
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -15,15 +15,16 @@
 	"github.com/joomcode/errorx"
 )
 
-// Numbers of passing on.
+// Limits of forwarding keyed requests between entry hosts.
 const (
-	// forwardAttempts is how often a request is sent to the host of its grant; the host runs it once all the same.
+	// forwardAttempts is how often a request is sent to one host. Sending it again is safe, because that host
+	// runs each key at most once.
 	forwardAttempts = 2
-	// sealedTableReplicas is how many peers hold the table of a host that left.
+	// sealedTableReplicas is how many peers get a copy of the idempotency table of a host that stops gracefully.
 	sealedTableReplicas = 3
 )
 
-// serveKeyed runs a non-idempotent request with an Idempotency-Key at most once.
+// serveKeyed runs a non-idempotent request with an Idempotency-Key at most once and writes the result to the caller.
 func (f *frontend) serveKeyed(w http.ResponseWriter, r *http.Request, request *steering.Request, text string) {
 	key, err := claim.ParseKey(text)
 	if err != nil {
@@ -36,7 +37,8 @@
 	f.writeResult(w, f.host.runKeyed(ctx, request, key))
 }
 
-// runKeyed runs a keyed request here, or has the host of its grant run it.
+// runKeyed runs a keyed request on the host that the key's grant names: this one, or the one it is forwarded to.
+// A plain key, which has no grant yet, first gets one through the store.
 func (h *Host) runKeyed(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	if key.Plain {
 		var claimed bool
@@ -53,7 +55,8 @@
 	return h.forwardToGrantHost(ctx, r, key)
 }
 
-// runLocally runs a request whose grant this incarnation issued.
+// runLocally runs a request whose grant was issued by this incarnation of the host. A request whose key is already
+// running waits for that run to end and then gets its stored response.
 func (h *Host) runLocally(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	for {
 		decision := h.idempotency.Begin(h.now(), key, r.Fingerprint)
@@ -73,7 +76,7 @@
 	}
 }
 
-// decisionResult turns a verdict that needs no run into a result.
+// decisionResult converts a decision that needs no run, a stored response or a refusal, into a result.
 func (h *Host) decisionResult(decision claim.Verdict) steering.Result {
 	switch d := decision.(type) {
 	case claim.Kept:
@@ -103,7 +106,8 @@
 	return bufferedResponse(a.Status, headerFromFields(a.Fields), a.Body)
 }
 
-// runDetached hands the request to a target, once. The run goes on when its caller goes away, so that a resend finds its answer.
+// runDetached runs the request independently of the caller's connection: the run goes on when the caller disconnects,
+// so that a resend with the same key finds the response.
 func (h *Host) runDetached(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	results := make(chan steering.Result, 1)
 	go func() {
@@ -124,10 +128,11 @@
 	}
 }
 
-// lateResultGrace is how long after the deadline a run may still tell how it ended.
+// lateResultGrace is how long to wait for the result of a run after the deadline of its request.
 const lateResultGrace = 250 * time.Millisecond
 
-// runAndRecord runs a claimed request and tells the table how it ended before anyone else learns it.
+// runAndRecord runs a keyed request and stores its outcome in the idempotency table before it returns the result,
+// so that the caller never sees a response that a resend would not get.
 func (h *Host) runAndRecord(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	_, service, found := h.dispatcher.Match(r.Host, pathOf(r.URI), r.Method)
 	if !found {
@@ -168,7 +173,8 @@
 	h.idempotency.Finish(key, claim.Lost{})
 }
 
-// forwardToGrantHost has the host that issued the grant run the request, or a holder of its sealed table answer for it.
+// forwardToGrantHost sends the request to the host that issued its grant or, when that host has stopped, to the peers
+// that hold a copy of its idempotency table. It tries the next address when one does not know the grant.
 func (h *Host) forwardToGrantHost(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	h.stats.forwarded.Add(1)
 	request := &inner.PassRequest{
@@ -193,10 +199,11 @@
 	return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: claim.Unknown, Reason: "GrantHostUnreachable"}
 }
 
-// grantHolderAddresses returns who may know of a grant: its incarnation while it lives, then the holders of its sealed table.
+// grantHolderAddresses returns the peer addresses of the hosts that may know a grant: the incarnation that issued it,
+// if it is in the membership table, and then the hosts that may hold a copy of its sealed table.
 func (h *Host) grantHolderAddresses(g claim.Grant) []string {
 	var addresses []string
-	if m, known := h.table.Find(g.Host); known && m.Incarnation == g.Incarnation {
+	if m, known := h.membership.Find(g.Host); known && m.Incarnation == g.Incarnation {
 		addresses = append(addresses, m.Inner)
 	}
 	for _, m := range h.sealedTableHolders(g.Host, g.Incarnation) {
@@ -207,10 +214,11 @@
 	return addresses
 }
 
-// sealedTableHolders returns the peers that hold the table of an incarnation after it left.
+// sealedTableHolders returns the peers that hold the sealed idempotency table of a host that has left. They are chosen
+// by rendezvous hash of the host's name, so that every host finds the same ones.
 func (h *Host) sealedTableHolders(name string, incarnation uint64) []host.Member {
 	var peers []host.Member
-	for _, m := range h.table.Live(h.now()) {
+	for _, m := range h.membership.Live(h.now()) {
 		if m.Name != name {
 			peers = append(peers, m)
 		}
@@ -223,7 +231,7 @@
 	return bufferedResponse(int(reply.Status), headerFromFields(fieldsFromWire(reply.Headers)), reply.Body)
 }
 
-// bufferedResponse returns an answer whose body is at hand.
+// bufferedResponse returns a response whose body is already in memory.
 func bufferedResponse(status int, header http.Header, body []byte) *steering.Answer {
 	return &steering.Answer{
 		Status: status, Header: header, Body: io.NopCloser(bytes.NewReader(body)), Text: body, Length: int64(len(body)), Whole: true,
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -10,12 +10,16 @@
 	"briarcroft/internal/record"
 )
 
-// Times of the duties.
+// Intervals of the background loops.
 const (
-	timerInterval     = 5 * time.Millisecond
+	// timerInterval is the period of the services' timers while any service has requests.
+	timerInterval = 5 * time.Millisecond
+	// idleTimerInterval is the same while no service has any.
 	idleTimerInterval = 100 * time.Millisecond
-	hostListInterval  = 2 * time.Second
-	noteInterval      = time.Second
+	// hostListInterval is how often the platform's host list is read.
+	hostListInterval = 2 * time.Second
+	// noteInterval is how often a watcher, and any host that is not ready, reads notes from the store.
+	noteInterval = time.Second
 )
 
 func (h *Host) startLoops(workers *duty.Set) {
@@ -29,7 +33,7 @@
 	workers.Start(h.demandLoop)
 }
 
-// timerLoop runs the timers of the services.
+// timerLoop runs the timers of the services, such as those of queues and ejections.
 func (h *Host) timerLoop(ctx context.Context) {
 	wait := timerInterval
 	for duty.Sleep(ctx, wait) {
@@ -40,14 +44,17 @@
 	}
 }
 
-// heartbeatLoop sends heartbeats.
+// heartbeatLoop runs a round of heartbeats at each interval of the membership, and at once after triggerHeartbeat.
 func (h *Host) heartbeatLoop(ctx context.Context) {
 	h.heartbeats.Run(ctx, h.heartbeatTrigger, h.heartbeatRound)
 }
 
+// heartbeatRound exchanges heartbeats with some peers and records changes in the membership. If this host was paused
+// since the last round, what it knows may be stale: it then stops counting store and peers as compared and reads the
+// store again.
 func (h *Host) heartbeatRound(ctx context.Context) {
-	recipients := h.table.Beat(h.now())
-	if h.table.TakePaused() {
+	recipients := h.membership.Beat(h.now())
+	if h.membership.TakePaused() {
 		h.peersCompared.Store(false)
 		h.storeReachable.Store(false)
 		h.records.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: h.chain.Number()})
@@ -67,34 +74,36 @@
 	h.handlePeerState(reply.Sender, reply.Members, reply.Quarantines)
 }
 
-// handlePeerState takes in the rest of what a peer sent, and asks for its note when that is newer.
+// handlePeerState processes the parts of a heartbeat or its reply that the membership table does not handle:
+// it merges the peer's quarantines and queues the fetch of a note when the peer has a newer one.
 func (h *Host) handlePeerState(sender string, members []*inner.Member, quarantines []*inner.Quarantine) {
 	h.quarantine.Take(h.now(), quarantinesFromWire(quarantines))
 	h.peersCompared.Store(true)
 	if m, newer := inner.Ahead(sender, members, h.chain.Number()); newer {
 		h.noteHints.Push(noteHint{m.Inner, m.Note})
 	}
-	if h.chain.Number() > 0 && !h.table.Self().Ready {
+	if h.chain.Number() > 0 && !h.membership.Self().Ready {
 		h.updateReady()
 	}
 }
 
-// updateReady makes the host ready once it has a note and has read it from the store or compared it with a peer.
+// updateReady sets whether the host is ready to serve: it must have a note, and must have read it from the store or
+// compared it with that of a peer.
 func (h *Host) updateReady() {
 	ready := h.chain.Number() > 0 && (h.storeReachable.Load() || h.peersCompared.Load())
-	if ready != h.table.Self().Ready {
-		h.table.SetReady(ready)
+	if ready != h.membership.Self().Ready {
+		h.membership.SetReady(ready)
 	}
 }
 
 func (h *Host) recordMembership() {
-	for _, e := range h.table.TakeEvents() {
+	for _, e := range h.membership.TakeEvents() {
 		h.records.Add(record.OfMembership(e, h.chain.Number()))
 	}
 	h.recordHomeMoves()
 }
 
-// hostListLoop reads the platform's list of live and leaving hosts.
+// hostListLoop reads the platform's list of live and leaving hosts periodically, if the platform has one.
 func (h *Host) hostListLoop(ctx context.Context) {
 	if h.config.HostList == nil {
 		return
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -28,7 +28,7 @@
 			// Another peer was quicker.
 		case received && hint.address != "":
 			h.fetchNotes(ctx, hint.address)
-		case received, h.isWatcher(), !h.table.Self().Ready:
+		case received, h.isWatcher(), !h.membership.Self().Ready:
 			h.readStore(ctx)
 		}
 	}
@@ -36,7 +36,7 @@
 
 // isWatcher reports whether this host reads the store for its failure domain.
 func (h *Host) isWatcher() bool {
-	return host.IsWatcher(h.table.Self(), h.table.Live(h.now()), watchersPerDomain)
+	return host.IsWatcher(h.membership.Self(), h.membership.Live(h.now()), watchersPerDomain)
 }
 
 // readStore reads newer notes from the store; a stale or failed read changes nothing.
@@ -106,7 +106,7 @@
 	}
 	h.dispatcher.Adopt(configuration)
 	h.inForceSince.Store(time.Now().UnixMilli())
-	h.table.SetNote(head.Number)
+	h.membership.SetNote(head.Number)
 	h.records.Add(record.Record{
 		Kind: record.NoteAdopted, Cause: cause, Note: head.Number,
 		Evidence: record.Evidence{Hash: hash, Peer: head.Note.Operator, Detail: head.Note.Reason},
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -30,7 +30,7 @@
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	h := p.host
 	h.handlePeerState(r.Sender, r.Members, r.Quarantines)
-	reply := inner.Answer(h.table, h.now(), r)
+	reply := inner.Answer(h.membership, h.now(), r)
 	reply.Quarantines = h.quarantinesToWire()
 	return reply, nil
 }
--- a/internal/entry/plainkey.go
+++ b/internal/entry/plainkey.go
@@ -13,21 +13,26 @@
 	"golang.org/x/time/rate"
 )
 
-// Places and times of plain keys in the store.
+// Store keys and times of claims on plain keys.
 const (
-	claimKeyPrefix  = "briarcroft/claims/"
-	claimLeaseTime  = 24 * time.Hour
+	claimKeyPrefix = "briarcroft/claims/"
+	// claimLeaseTime is how long a claim stays in the store after its lease was granted.
+	claimLeaseTime = 24 * time.Hour
+	// leaseRenewalAge is the age at which a lease is replaced for new claims. It is a small part of claimLeaseTime,
+	// so that each claim stays in the store much longer than its key may be used.
 	leaseRenewalAge = time.Hour
-	// createAttempts is how often an unconfirmed claim is settled by asking again.
+	// createAttempts is how often a claim is written to the store until the store confirms who holds it.
 	createAttempts   = 3
 	createRetryDelay = 50 * time.Millisecond
 )
 
-// plainKeyStore claims plain keys in the store, at a bounded rate.
+// plainKeyStore claims plain keys in the platform's store, at a limited rate. A plain key is an Idempotency-Key
+// without a grant; the store decides which incarnation of which host may run its request.
 type plainKeyStore struct {
 	store   platform.Store
 	limiter *rate.Limiter
-	// leaseLock holds one token while nobody asks the store for a lease.
+	// leaseLock guards lease and leasedAt. It is a mutex that can be waited for with a context: it holds one token while
+	// it is unlocked.
 	leaseLock chan struct{}
 	lease     platform.LeaseID
 	leasedAt  time.Time
@@ -39,15 +44,16 @@
 	return p
 }
 
-// owner is the value of a claimed key: the incarnation that alone may run the request.
+// owner is the value of a claimed key in the store: the grant of the only incarnation that may run the request.
 type owner struct {
 	Host        string
 	Incarnation string
 	Issued      int64
 }
 
-// claim gives a plain key a grant: ours when the claim is won, else the one of the host that holds it.
-// Claimed is false when the store gave no answer; nothing was run then, and a claim that takes effect late names our grant.
+// claim returns the plain key with a grant: newGrant if this host wins the claim, or else the grant that the store holds.
+// claimed is false when the claim was not confirmed. The request has not run then, and if the write takes effect later,
+// the store names newGrant, so that no other host can run the request.
 func (p *plainKeyStore) claim(ctx context.Context, k claim.Key, newGrant claim.Grant) (key claim.Key, claimed bool) {
 	if !p.limiter.Allow() {
 		return k, false
@@ -72,7 +78,7 @@
 	return k, false
 }
 
-// grantFromStore returns the key under the grant that the store holds for it.
+// grantFromStore returns the key with the grant that the store holds for it; ok is false if that cannot be decoded.
 func grantFromStore(k claim.Key, newGrant claim.Grant, result platform.CreateResult) (claim.Key, bool) {
 	k.Grant = newGrant
 	if result.Won {
@@ -90,12 +96,13 @@
 	return k, true
 }
 
-// currentLease returns a lease that still has most of its time, so that a claim outlives its window by far.
+// currentLease returns the lease for new claims and replaces it when it is older than leaseRenewalAge.
+// It returns platform.ErrUnavailable when ctx ends while another request renews the lease.
 func (p *plainKeyStore) currentLease(ctx context.Context) (platform.LeaseID, error) {
 	select {
 	case <-p.leaseLock:
 	case <-ctx.Done():
-		return 0, platform.ErrUnavailable.New("the store has not given a lease in time; send the key again")
+		return 0, platform.ErrUnavailable.New("the store did not grant a lease before the request's deadline; send the request again with the same key")
 	}
 	defer func() { p.leaseLock <- struct{}{} }()
 	if p.lease != 0 && time.Since(p.leasedAt) < leaseRenewalAge {
--- a/internal/entry/probes.go
+++ b/internal/entry/probes.go
@@ -18,10 +18,12 @@
 const (
 	probeInterval = 200 * time.Millisecond
 	probeTimeout  = 500 * time.Millisecond
-	probeBytes    = 512
+	// probeBytes is the traffic charged to the measuring budget for a probe, and the most that is read of a response body.
+	probeBytes = 512
 )
 
-// probeLoop asks idle, ejected and draining targets for their report, as far as the budget allows.
+// probeLoop requests the load report of targets that are idle, ejected or draining. Probes are limited by the measuring
+// budget of each failure domain; when it is used up, the rest of the round is skipped.
 func (h *Host) probeLoop(ctx context.Context) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: probeTimeout, DialContext: h.config.Dial}
 	defer transport.CloseIdleConnections()
@@ -47,7 +49,7 @@
 	if err != nil {
 		return
 	}
-	// Only the header fields count; the rest is read so that the connection can be used again.
+	// The report is in the header fields; the body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, probeBytes))
 	_ = response.Body.Close()
 	inFlight, err := strconv.Atoi(response.Header.Get(steering.HeaderLoad))
@@ -58,10 +60,10 @@
 	h.budget.Charge(h.now(), min(time.Since(started), maxProbeCPUTime))
 }
 
-// maxProbeCPUTime bounds the processor time that is charged for one probe; most of a probe is waiting.
+// maxProbeCPUTime bounds the processor time that is charged for one probe, since most of its duration is waiting.
 const maxProbeCPUTime = 200 * time.Microsecond
 
-// recordBudgetExhausted writes a record when the budget refuses, once in a while.
+// recordBudgetExhausted adds a record that the measuring budget has refused a probe, at most once per budgetRecordInterval.
 func (h *Host) recordBudgetExhausted(domain string) {
 	now := h.now()
 	lastRecorded := time.Duration(h.stats.budgetRecordedAt.Load())
@@ -72,4 +74,5 @@
 	h.records.Add(record.Record{Kind: record.BudgetExhausted, Cause: "MeasuringBudget", Note: h.chain.Number(), Evidence: record.Evidence{Detail: domain}})
 }
 
+// budgetRecordInterval is the shortest time between two records of an exhausted budget.
 const budgetRecordInterval = 10 * time.Second
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -34,7 +34,7 @@
 	for time.Since(start) < limit {
 		agree := true
 		for _, n := range f.nodes {
-			agree = agree && len(n.host.table.Live(n.host.now())) == count
+			agree = agree && len(n.host.membership.Live(n.host.now())) == count
 		}
 		if agree {
 			return time.Since(start)
@@ -81,7 +81,7 @@
 			time.Sleep(20 * time.Second)
 			number := f.publish(followingNote(1))
 			time.Sleep(noteBound)
-			f.is.Equal(len(f.nodes["entry-2"].host.table.Live(f.nodes["entry-2"].host.now())), 4)
+			f.is.Equal(len(f.nodes["entry-2"].host.membership.Live(f.nodes["entry-2"].host.now())), 4)
 			f.is.Equal(f.nodes["entry-1"].host.NoteNumber(), 1)
 			f.is.Equal(f.nodes["entry-2"].host.NoteNumber(), number)
 			parting(f.net.Heal)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -11,20 +11,24 @@
 	"briarcroft/internal/record"
 )
 
-// Sizes and times of handing a table over.
+// Limits of a graceful stop.
 const (
+	// sealPartBytes is the size above which a new message begins when a table is copied to a peer.
 	sealPartBytes = 1 << 20
-	sealTimeout   = 3 * time.Second
-	// addressAgeMargin is added to the longest age of an address answer before the listener closes.
+	// sealTimeout bounds the copying of the table to all peers.
+	sealTimeout = 3 * time.Second
+	// addressAgeMargin is added to the time for which callers may cache an address answer before the listener closes.
 	addressAgeMargin = time.Second
 )
 
-// stopGracefully takes the host out of the answers, finishes what is in flight and hands its knowledge over.
+// stopGracefully removes the host from address answers, waits until callers have stopped using it, finishes the requests
+// in flight and copies its idempotency table to peers. Sealing the table ends the right of this incarnation to run keyed
+// requests, so that its copies are final.
 func (h *Host) stopGracefully(force context.Context) error {
-	h.table.Leave()
+	h.membership.Leave()
 	h.addRecord(record.HostLeft, "GracefulStop")
 	h.triggerHeartbeat()
-	// Callers keep an answer for its age; until then they still come here.
+	// Callers cache address answers for AddressMaxAge and keep connecting to this host until then.
 	duty.Sleep(force, h.settings.Limits.AddressMaxAge+addressAgeMargin)
 	drained := h.idempotency.Seal()
 	h.addRecord(record.HostSealed, "GracefulStop")
@@ -39,7 +43,7 @@
 	return err
 }
 
-// replicateTable copies the sealed table to peers that answer for it from now on.
+// replicateTable copies the sealed idempotency table to peers, which answer resends of its keys from now on.
 func (h *Host) replicateTable(ctx context.Context) {
 	parts := sealRequests(h.idempotency.Export(h.now()))
 	ctx, cancel := context.WithTimeout(ctx, sealTimeout)
@@ -49,7 +53,7 @@
 		group.Go(func() {
 			for _, part := range parts {
 				if _, err := h.client.Peer(ctx, m.Inner).Seal(ctx, part); err != nil {
-					h.config.Logger.Warn().Err(err).Str("Peer", m.Name).Msg("table was not handed over")
+					h.config.Logger.Warn().Err(err).Str("Peer", m.Name).Msg("sealed idempotency table was not copied to peer")
 					return
 				}
 			}
@@ -58,7 +62,7 @@
 	group.Wait()
 }
 
-// sealRequests cuts a table into parts of a bounded size; an empty table is one part.
+// sealRequests splits a table into messages of limited size; an empty table makes one message.
 func sealRequests(table claim.Handover) []*inner.SealRequest {
 	var parts []*inner.SealRequest
 	startPart := func() {
@@ -87,7 +91,7 @@
 	return parts
 }
 
-// tableAssembler collects the parts of tables that are being handed over.
+// tableAssembler reassembles sealed tables, which peers send in parts. It is safe for concurrent use.
 type tableAssembler struct {
 	mu     sync.Mutex
 	tables map[tableID]*partialTable
@@ -103,12 +107,12 @@
 	entries []claim.SealedEntry
 }
 
-// maxPartialTables bounds the tables that are being received at a time.
+// maxPartialTables bounds the tables that are received at the same time. Beyond it, all incomplete ones are dropped.
 const maxPartialTables = 16
 
 func newTableAssembler() *tableAssembler { return &tableAssembler{tables: map[tableID]*partialTable{}} }
 
-// add takes a part and returns the whole table once all parts are there.
+// add stores a part and returns the entries of the table, and true, once all parts have arrived.
 func (s *tableAssembler) add(r *inner.SealRequest) ([]claim.SealedEntry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
