--- a/internal/entry/chain_test.go
+++ b/internal/entry/chain_test.go
@@ -12,7 +12,7 @@
 	"briarcroft/internal/steering"
 )
 
-// Sizes and bound of the chain, from the stated target.
+// Sizes of the chain of services. A request may cause at most maxAttempts attempts per layer on average.
 const (
 	chainLayers   = 23
 	chainRequests = 400
@@ -20,7 +20,8 @@
 	chainTargets  = 2
 )
 
-// TestRetriesDoNotMultiply sends calls through 23 layers whose last one always fails.
+// TestRetriesDoNotMultiply sends requests through 23 layers of services, the last of which always fails. It guards against
+// a retry storm: if each layer retried on its own, the attempts would multiply from layer to layer.
 func TestRetriesDoNotMultiply(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		host := f.start("entry-1", "a")
@@ -60,15 +61,16 @@
 		}
 		lastLayer := float64(attempts[chainLayers-1].Load()) / chainRequests
 		mean := float64(sum) / (chainRequests * chainLayers)
-		t.Logf("%d calls through %d layers: %.3f tries of the last layer a call, %.3f tries a layer and call", chainRequests, chainLayers, lastLayer, mean)
+		t.Logf("%d requests through %d layers: %.3f attempts at the last layer per request, %.3f attempts per layer and request", chainRequests, chainLayers, lastLayer, mean)
 		f.is.True(lastLayer <= maxAttempts)
 		f.is.True(mean <= maxAttempts)
-		f.is.True(lastLayer > 0.5) // the calls did reach the last layer
+		f.is.True(lastLayer > 0.5) // the requests did reach the last layer
 		client.CloseIdleConnections()
 	})
 }
 
-// callNextLayer calls the next layer as a backend server should: with the deadline and the allowance it was given.
+// callNextLayer calls the next layer as a backend server should: it passes on the deadline and the retry allowance of its
+// own request, and returns the retry header of the response.
 func callNextLayer(f *fleet, w http.ResponseWriter, r *http.Request, client *http.Transport, host *node, layer int) {
 	call, err := http.NewRequestWithContext(r.Context(), http.MethodGet, fmt.Sprintf("http://%s/%d/x", host.listen, layer), nil)
 	f.is.NoErr(err)
--- a/internal/entry/explain_test.go
+++ b/internal/entry/explain_test.go
@@ -11,7 +11,8 @@
 	"briarcroft/internal/record"
 )
 
-// TestRecordsRebuildEligibility rebuilds which targets could be chosen from the records alone.
+// TestRecordsRebuildEligibility checks that event records alone show which targets were eligible at any time, while one
+// target is ejected and another one removed by a note.
 func TestRecordsRebuildEligibility(t *testing.T) {
 	behave := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		if b.name == "target-2" && r.URL.Path == "/bad" {
@@ -51,17 +52,18 @@
 		f.is.True(kinds["FailuresInARow"] && kinds["WithdrawnByNote"])
 		isForgotten := func(r record.Record) bool { return r.Kind == record.TargetForgotten && r.Target == "target-4" }
 		f.is.True(slices.ContainsFunc(records, isForgotten))
-		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), isForgotten)) // on an idle host too
+		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), isForgotten)) // also recorded by a host without requests
 		targetCounts := map[int]bool{}
 		for _, i := range observations {
-			f.is.Equal(record.Eligible(records, "s", i.at), i.names) // rebuilt from records
+			f.is.Equal(record.Eligible(records, "s", i.at), i.names) // eligible targets according to the records
 			targetCounts[len(i.names)] = true
 		}
-		f.is.True(len(targetCounts) >= 3) // the check saw targets go
+		f.is.True(len(targetCounts) >= 3) // the set of eligible targets has changed twice
 	})
 }
 
-// TestJoinMovesFewHomes compares the services that a join or a leave moves with the least possible.
+// TestJoinMovesFewHomes checks that a host that joins becomes the home of little more than its share of the services, so
+// that few callers have to connect to another host.
 func TestJoinMovesFewHomes(t *testing.T) {
 	const services = 1000
 	var members []host.Member
@@ -77,8 +79,8 @@
 		}
 	}
 	share := float64(moved) / services * 13
-	t.Logf("a thirteenth host took %d of %d services, %.2f times the least possible", moved, services, share)
+	t.Logf("a thirteenth host became home to %d of %d services, %.2f times its share", moved, services, share)
 	if share > 1.3 {
-		t.Errorf("a join moved %.2f times the least possible", share)
+		t.Errorf("a joining host became home to %.2f times its share of services, want at most 1.3", share)
 	}
 }
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -15,7 +15,7 @@
 	"briarcroft/internal/steering"
 )
 
-// withFleetServing runs a test with hosts and backend servers whose note is in force everywhere.
+// withFleetServing runs a test on a fleet with entry hosts and backend servers, once its first note is in force on all hosts.
 func withFleetServing(t *testing.T, hosts, targets int, behave func(*fakeBackend, http.ResponseWriter, *http.Request, string), run func(f *fleet, backends []*fakeBackend)) {
 	withFleet(t, func(f *fleet) {
 		f.startAll(hosts)
@@ -29,7 +29,7 @@
 	})
 }
 
-// warmUp sends reads so that connections are open and latencies known.
+// warmUp sends GET requests so that connections to targets are open and their latencies are measured.
 func (f *fleet) warmUp(host *node, count int) {
 	var group sync.WaitGroup
 	for i := range count {
@@ -39,6 +39,8 @@
 	group.Wait()
 }
 
+// TestSilentConnections checks that requests succeed quickly after all open connections to the backend servers lose
+// their packets without an error, as when a firewall drops its connection state.
 func TestSilentConnections(t *testing.T) {
 	withFleetServing(t, 1, 4, echo, func(f *fleet, backends []*fakeBackend) {
 		host := f.nodes["entry-1"]
@@ -56,25 +58,27 @@
 			f.is.Equal(response.StatusCode, http.StatusOK)
 			worst = max(worst, time.Since(began))
 		}
-		f.is.True(worst < 500*time.Millisecond) // reads move to a new connection
+		f.is.True(worst < 500*time.Millisecond) // GET requests are retried on a new connection
 		began := time.Now()
 		response, _, err := f.send(host, http.MethodPost, "/once", "", map[string]string{"Idempotency-Key": "k"})
 		f.is.NoErr(err)
 		f.is.Equal(response.StatusCode, http.StatusOK)
-		f.is.True(time.Since(began) < 100*time.Millisecond) // a sign-off goes on a proven or new connection
-		t.Logf("%d connections went silent; slowest read after it %v", silenced, worst)
+		f.is.True(time.Since(began) < 100*time.Millisecond) // a keyed request uses a new connection or one that has worked recently
+		t.Logf("%d connections went silent; slowest GET request after that %v", silenced, worst)
 	})
 }
 
+// TestCrashingRequestIsQuarantined checks that a request that crashes its backend server is refused on all hosts after a
+// few attempts, so that it cannot take down every target of the service.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
-	poison := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	crashOnRequest := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		b.recordRun(r)
 		if r.URL.Path == "/poison" {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = fmt.Fprint(w, "well")
 	}
-	withFleetServing(t, 3, 6, poison, func(f *fleet, backends []*fakeBackend) {
+	withFleetServing(t, 3, 6, crashOnRequest, func(f *fleet, backends []*fakeBackend) {
 		statuses := map[int]int{}
 		for i := range 30 {
 			response, _, err := f.send(f.nodes[f.order[i%3]], http.MethodGet, "/poison", "", nil)
@@ -87,19 +91,20 @@
 			crashes += b.totalRuns()
 		}
 		t.Logf("30 sends of a crashing request broke %d connections; statuses %v", crashes, statuses)
-		f.is.True(crashes <= 4)                                                           // two per host that had not heard of it yet
-		f.is.True(statuses[http.StatusUnprocessableEntity] >= 25)                         // the rest is answered from quarantine
-		f.is.Equal(len(f.nodes["entry-1"].host.dispatcher.Services()["s"].Eligible()), 6) // no target is blamed
+		f.is.True(crashes <= 4)                                                           // two on each host before it learns of the quarantine
+		f.is.True(statuses[http.StatusUnprocessableEntity] >= 25)                         // the others are refused without an attempt
+		f.is.Equal(len(f.nodes["entry-1"].host.dispatcher.Services()["s"].Eligible()), 6) // no target is ejected because of the request
 		response, _, err := f.send(f.nodes["entry-1"], http.MethodGet, "/well", "", nil)
 		f.is.NoErr(err)
 		f.is.Equal(response.StatusCode, http.StatusOK)
 	})
 }
 
-// documentBytes is the size of a large answer.
+// documentBytes is the size of the response of truncatingDocument.
 const documentBytes = 1 << 20
 
-// truncatingDocument answers with a large body; the first answer of each server is cut in the middle.
+// truncatingDocument returns a handler of backend servers that sends a large document. The connection of the first
+// response breaks in the middle of the body; later requests may resume it by Range and If-Range.
 func truncatingDocument(etag string) func(*fakeBackend, http.ResponseWriter, *http.Request, string) {
 	text := strings.Repeat("0123456789abcdef", documentBytes/16)
 	var once sync.Once
@@ -127,13 +132,15 @@
 	}
 }
 
+// TestTruncatedResponses checks that a response whose connection to the backend server breaks is resumed from another
+// target if it has a strong ETag, and that otherwise the caller sees an error instead of a truncated body.
 func TestTruncatedResponses(t *testing.T) {
 	cases := []struct {
 		name, etag string
 		whole      bool
 	}{
 		{"resumed by a strong ETag", `"v1"`, true},
-		{"broken visibly with a weak ETag", `W/"v1"`, false},
+		{"aborted with a weak ETag", `W/"v1"`, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -148,10 +155,12 @@
 	}
 }
 
+// TestLeavingTargetGetsNoNewRequests checks that a target gets no new requests from two seconds after any of the signals
+// by which it can announce that it is leaving.
 func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
-	var leaving sync.Map
+	var signals sync.Map
 	behave := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-		switch sign, _ := leaving.Load(b.name); sign {
+		switch signal, _ := signals.Load(b.name); signal {
 		case "report":
 			w.Header().Set(steering.HeaderDraining, "true")
 		case "refusal":
@@ -163,8 +172,8 @@
 		echo(b, w, r, body)
 	}
 	cases := []struct {
-		sign string
-		give func(f *fleet, b *fakeBackend)
+		name     string
+		announce func(f *fleet, b *fakeBackend)
 	}{
 		{"note", func(f *fleet, b *fakeBackend) {
 			f.publish("[Note]\nFollows = 1\nOperator = test\nReason = withdraw\n[Withdraw]\nTargets = " + b.name + "\n")
@@ -172,14 +181,14 @@
 		{"host list", func(f *fleet, b *fakeBackend) {
 			f.store.SetHosts([]platform.ListedHost{{Name: b.name, Address: b.address, State: platform.HostLeaving}})
 		}},
-		{"report", func(_ *fleet, b *fakeBackend) { leaving.Store(b.name, "report") }},
-		{"refusal", func(_ *fleet, b *fakeBackend) { leaving.Store(b.name, "refusal") }},
+		{"report", func(_ *fleet, b *fakeBackend) { signals.Store(b.name, "report") }},
+		{"refusal", func(_ *fleet, b *fakeBackend) { signals.Store(b.name, "refusal") }},
 	}
 	for _, c := range cases {
-		t.Run(c.sign, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			withFleetServing(t, 3, 4, behave, func(f *fleet, backends []*fakeBackend) {
-				defer leaving.Clear()
-				gone := backends[0]
+				defer signals.Clear()
+				leaving := backends[0]
 				ctx, cancel := context.WithCancel(context.Background())
 				var load sync.WaitGroup
 				for _, name := range f.order {
@@ -191,11 +200,11 @@
 					})
 				}
 				time.Sleep(time.Second)
-				c.give(f, gone)
+				c.announce(f, leaving)
 				time.Sleep(2 * time.Second)
-				before := gone.totalRuns()
+				before := leaving.totalRuns()
 				time.Sleep(10 * time.Second)
-				f.is.Equal(gone.totalRuns(), before) // new work two seconds after the first sign
+				f.is.Equal(leaving.totalRuns(), before) // no new requests from two seconds after the signal
 				f.is.True(before > 0)
 				cancel()
 				load.Wait()
@@ -204,6 +213,8 @@
 	}
 }
 
+// TestGracefulStopLosesNoRequest stops the home of a service under load: every request, keyed or not, must succeed at the
+// first attempt.
 func TestGracefulStopLosesNoRequest(t *testing.T) {
 	withFleetServing(t, 4, 4, echo, func(f *fleet, _ []*fakeBackend) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -234,7 +245,7 @@
 		home := answer.Addresses[0].Host
 		began := time.Now()
 		f.is.NoErr(f.stop(home))
-		t.Logf("home %s stopped after %v under load; %d requests answered", home, time.Since(began), count)
+		t.Logf("home %s stopped under load in %v; %d requests succeeded", home, time.Since(began), count)
 		time.Sleep(2 * time.Second)
 		cancel()
 		load.Wait()
@@ -242,6 +253,7 @@
 	})
 }
 
+// TestCallerDisconnectCancels checks that the request to the backend server is canceled when its caller disconnects.
 func TestCallerDisconnectCancels(t *testing.T) {
 	cancelled := make(chan bool, 1)
 	behave := func(_ *fakeBackend, _ http.ResponseWriter, r *http.Request, _ string) {
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -24,7 +24,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fleet is a set of entry hosts, backend servers and a platform on an in-memory network, in virtual time.
+// fleet is a set of entry hosts, backend servers and a fake platform store on an in-memory network, in virtual time.
 type fleet struct {
 	is             *is.I
 	net            *fakenet.Network
@@ -38,7 +38,7 @@
 	serving        sync.WaitGroup
 }
 
-// node is one entry host.
+// node is an entry host of a fleet with its addresses and the functions that end it.
 type node struct {
 	host          *Host
 	listen, inner string
@@ -48,13 +48,13 @@
 	close         func()
 }
 
-// storeURL is where the stand-in listens.
+// Address of the fake platform store.
 const (
 	storeAddress = "10.1.0.1:2379"
 	storeURL     = "http://" + storeAddress
 )
 
-// withFleet runs a test in virtual time with a platform and no hosts yet.
+// withFleet runs a test in virtual time on a fleet that has a platform store but no hosts yet.
 func withFleet(t *testing.T, run func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), net: fakenet.New(), store: standin.New(), nodes: map[string]*node{}}
@@ -96,11 +96,11 @@
 		_ = s.Close()
 	}
 	f.serving.Wait()
-	// Handlers that still sleep end before the test does.
+	// synctest requires that handlers that are still asleep return before the test ends.
 	time.Sleep(5 * time.Second)
 }
 
-// start starts an entry host, anew with its old addresses when there was one of that name.
+// start starts an entry host. If there was a host of that name before, the new one has its addresses and failure domain.
 func (f *fleet) start(name, domain string) *node {
 	old := f.nodes[name]
 	n := &node{domain: domain, done: make(chan error, 1)}
@@ -137,7 +137,7 @@
 	return n
 }
 
-// startAll starts a number of hosts over the failure domains of today, or those of the planned size when there are many.
+// startAll starts a number of hosts spread over three failure domains, or over five if there are more than 30 hosts.
 func (f *fleet) startAll(count int) {
 	domains := []string{"a", "b", "c"}
 	if count > 30 {
@@ -148,7 +148,7 @@
 	}
 }
 
-// crash ends a host at once, as when its machine fails.
+// crash ends a host and its connections without a graceful stop, as when its machine fails.
 func (f *fleet) crash(name string) {
 	n := f.nodes[name]
 	f.net.Crash(name)
@@ -158,7 +158,7 @@
 	f.net.Crash(name)
 }
 
-// stop stops a host gracefully and waits for its end.
+// stop stops a host gracefully and waits until it has ended.
 func (f *fleet) stop(name string) error {
 	n := f.nodes[name]
 	n.stop()
@@ -167,10 +167,10 @@
 	return err
 }
 
-// remove takes a host that has ended out of the fleet.
+// remove removes a host that has ended from the fleet.
 func (f *fleet) remove(name string) { delete(f.nodes, name) }
 
-// publish accepts a note and returns its number.
+// publish publishes a note to the store and returns its number.
 func (f *fleet) publish(text string) int {
 	n, err := note.Parse("note", []byte(text))
 	f.is.NoErr(err)
@@ -179,43 +179,43 @@
 	return r.Number
 }
 
-// awaitNote waits until a note is in force and the host ready on every host, and returns how long it took.
+// awaitNote waits until every host is ready and has the note in force, and returns how long that took.
 func (f *fleet) awaitNote(number int, limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
-		late := 0
+		pending := 0
 		for _, n := range f.nodes {
 			if n.host.NoteNumber() < number || !n.host.Ready() {
-				late++
+				pending++
 			}
 		}
-		if late == 0 {
+		if pending == 0 {
 			return time.Since(start)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.is.Fail() // the note is not in force everywhere in time
+	f.is.Fail() // a host is not ready or does not have the note in force in time
 	return limit
 }
 
-// awaitPeers waits until every host knows every other as live.
+// awaitPeers waits until every host has all hosts as live in its membership table.
 func (f *fleet) awaitPeers(limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
-		whole := true
+		complete := true
 		for _, n := range f.nodes {
-			whole = whole && len(n.host.membership.Live(n.host.now())) == len(f.nodes)
+			complete = complete && len(n.host.membership.Live(n.host.now())) == len(f.nodes)
 		}
-		if whole {
+		if complete {
 			return time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.is.Fail() // the hosts do not know each other in time
+	f.is.Fail() // a host does not have all hosts in its membership table in time
 	return limit
 }
 
-// newCaller returns a caller that knows all hosts.
+// newCaller returns a client of the fleet, with the addresses of all hosts as its seeds.
 func (f *fleet) newCaller(seed uint64) *caller.Client {
 	var seeds []string
 	for _, name := range f.order {
@@ -228,7 +228,7 @@
 	return c
 }
 
-// fakeBackend answers with what behave says and counts what it ran.
+// fakeBackend is a backend server that responds through handler, which counts the requests that it ran with recordRun.
 type fakeBackend struct {
 	name    string
 	mu      sync.Mutex
@@ -249,7 +249,7 @@
 	b.handler(b, w, r, string(text))
 }
 
-// recordRun counts a run of a keyed request.
+// recordRun counts a run of a request, in total and by Idempotency-Key.
 func (b *fakeBackend) recordRun(r *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -269,14 +269,14 @@
 	return b.runs[key]
 }
 
-// echo takes 5 ms and echoes the request.
+// echo is a backend handler that takes 5 ms and responds with method, path and body of the request.
 func echo(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 	b.recordRun(r)
 	time.Sleep(5 * time.Millisecond)
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.Path, body)
 }
 
-// backends starts backend servers and returns them with the text of a note that names them.
+// backends starts backend servers and returns them with the text of a first note that has them as targets of service s.
 func (f *fleet) backends(count int, behave func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)) ([]*fakeBackend, string) {
 	var list []*fakeBackend
 	var b strings.Builder
@@ -291,7 +291,7 @@
 	return list, b.String()
 }
 
-// get sends one request to a host on a new connection.
+// send sends one request to a host on a new connection and returns the response with its body.
 func (f *fleet) send(host *node, method, path, body string, header map[string]string) (*http.Response, string, error) {
 	transport := &http.Transport{DialContext: f.net.Dialer("caller"), DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -12,12 +12,13 @@
 	"briarcroft/internal/platform/standin"
 )
 
-// followingNote returns the text of a note that follows the given one.
+// followingNote returns the text of a note that follows the one with the given number.
 func followingNote(follows int) string {
 	return fmt.Sprintf("[Note]\nFollows = %d\nOperator = test\nReason = next\n[Service extra-%d]\n", follows, follows)
 }
 
-// TestStaleStoreNeverLowersTheNote restarts a host while the store answers with old reads.
+// TestStaleStoreNeverLowersTheNote restarts a host while the store serves stale reads: no host may go back to an older
+// note, and the restarted one must get the newest from its peers.
 func TestStaleStoreNeverLowersTheNote(t *testing.T) {
 	withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
 		old := f.store.Revision()
@@ -35,7 +36,8 @@
 	})
 }
 
-// TestTimeUntilNoteInForce measures how long a note takes to be in force on 13 hosts, with silent watches and lost messages too.
+// TestTimeUntilNoteInForce checks how long it takes until a published note is in force on all hosts, also when the
+// watches of the store deliver nothing and when a third of the links between hosts are down.
 func TestTimeUntilNoteInForce(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -43,10 +45,10 @@
 		bound time.Duration
 		fail  func(f *fleet)
 	}{
-		{"all well", 13, noteBound, func(*fleet) {}},
-		{"all well at the planned size", 40, plannedSizeNoteBound, func(*fleet) {}},
+		{"no faults", 13, noteBound, func(*fleet) {}},
+		{"no faults, planned size", 40, plannedSizeNoteBound, func(*fleet) {}},
 		{"watches silent", 13, noteBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SilentWatches: true}) }},
-		{"a third of the links lost", 13, noteBound, func(f *fleet) {
+		{"a third of the links down", 13, noteBound, func(f *fleet) {
 			for i, a := range f.order {
 				for j, b := range f.order {
 					if (i*7+j*3)%3 == 0 && i < j {
@@ -68,14 +70,15 @@
 					time.Sleep(1300 * time.Millisecond)
 				}
 				slices.Sort(times)
-				t.Logf("in force on %d hosts: median %v, worst %v", c.hosts, times[len(times)/2], times[len(times)-1])
+				t.Logf("note in force on %d hosts: median %v, maximum %v", c.hosts, times[len(times)/2], times[len(times)-1])
 				f.is.True(times[len(times)-1] <= c.bound)
 			})
 		})
 	}
 }
 
-// TestStoreCallsBound measures the store's calls against the number of hosts: they must grow with failure domains only.
+// TestStoreCallsBound checks that the rate of calls to the store grows with the number of failure domains and not with
+// that of hosts.
 func TestStoreCallsBound(t *testing.T) {
 	sizes := []int{13, 50, 200}
 	if os.Getenv("BRIARCROFT_FULL") == "" {
@@ -89,18 +92,18 @@
 			began := time.Now()
 			time.Sleep(30 * time.Second)
 			rates[hosts] = float64(totalCalls(f.store)-before) / time.Since(began).Seconds()
-			t.Logf("%d hosts: %.1f store calls a second", hosts, rates[hosts])
+			t.Logf("%d hosts: %.1f store calls per second", hosts, rates[hosts])
 		})
 	}
 	for _, rate := range rates {
-		// Two watchers in each failure domain read once a second.
+		// In each of up to five failure domains, two watchers read once per second.
 		if rate > 5*watchersPerDomain*1.2 {
-			t.Errorf("%.1f store calls a second are more than the watchers need", rate)
+			t.Errorf("%.1f store calls per second, want at most one per watcher and second plus 20%%", rate)
 		}
 	}
 }
 
-// totalCalls counts the key-value calls; the host list is another service.
+// totalCalls returns the number of key-value calls; calls for the host list are left out, as that is another service.
 func totalCalls(s *standin.Standin) int64 {
 	var sum int64
 	for call, n := range s.Calls() {
@@ -111,13 +114,14 @@
 	return sum
 }
 
-// TestTwoOperators publishes rival notes at the same moment, with lost confirmations and late writes.
+// TestTwoOperators publishes two notes with the same predecessor at the same time: exactly one may be accepted, also when
+// the store loses confirmations or applies writes late.
 func TestTwoOperators(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults standin.Faults
 	}{
-		{"all well", standin.Faults{}},
+		{"no faults", standin.Faults{}},
 		{"lost confirmations", standin.Faults{LoseConfirmations: 2}},
 		{"late writes", standin.Faults{LateWrites: 2, LateBy: 300 * time.Millisecond}},
 	}
@@ -142,7 +146,7 @@
 							accepted++
 						}
 					}
-					f.is.Equal(accepted, 1) // exactly one of two rivals
+					f.is.Equal(accepted, 1) // exactly one of two concurrent notes
 					f.awaitNote(round+1, 5*time.Second)
 				}
 			})
--- a/internal/entry/protocol_test.go
+++ b/internal/entry/protocol_test.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 )
 
-// writeCertificate writes the test library's certificate and key as PEM files.
+// writeCertificate writes the certificate and key of httptest as PEM files and returns their paths and a pool that trusts it.
 func writeCertificate(is *is.I, dir string) (certificate, key string, pool *x509.CertPool) {
 	server := httptest.NewTLSServer(http.NotFoundHandler())
 	defer server.Close()
@@ -33,7 +33,8 @@
 	return certificate, key, pool
 }
 
-// TestCallerProtocols speaks HTTP/1.1 and HTTP/2, with and without TLS, and goes beyond the limits.
+// TestCallerProtocols checks that callers can use HTTP/1.1 and HTTP/2, with and without TLS, and that a header above the
+// limit is refused.
 func TestCallerProtocols(t *testing.T) {
 	is := is.New(t)
 	certificate, key, pool := writeCertificate(is, t.TempDir())
@@ -73,7 +74,7 @@
 	}
 }
 
-// checkLimits sends a header and asks for a body beyond the limits.
+// checkLimits checks that a request with a header above the limit is refused.
 func checkLimits(is *is.I, h *Host) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+h.Listen()+"/Health", nil)
 	is.NoErr(err)
@@ -84,8 +85,8 @@
 	is.NoErr(response.Body.Close())
 }
 
-// TestSilentStreamIsReplaced silences the connections over which a keyed request is being passed on:
-// the answer must come over a new one, from the same run.
+// TestSilentStreamIsReplaced silences the connection on which a keyed request is being forwarded to a peer: the response
+// must arrive over a new connection, and the request must not run again.
 func TestSilentStreamIsReplaced(t *testing.T) {
 	slow := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		b.recordRun(r)
@@ -101,11 +102,11 @@
 		f.is.Equal(response.StatusCode, http.StatusOK)
 		f.is.Equal(body, "slow")
 		f.is.Equal(backends[0].totalRuns(), 1)
-		f.is.True(time.Since(began) < 1600*time.Millisecond) // replaced while the request ran
+		f.is.True(time.Since(began) < 1600*time.Millisecond) // the connection was replaced while the request ran
 	})
 }
 
-// TestBodyLimit sends a keyed body beyond the limit: it must be refused as not run.
+// TestBodyLimit checks that bodies above the limits for keyed and for all requests are refused without a run.
 func TestBodyLimit(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.adjustSettings = func(s *settings.Settings) { s.Limits.KeyedBodyBytes, s.Limits.BodyBytes = 100, 1000 }
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -13,22 +13,24 @@
 	"briarcroft/internal/settings"
 )
 
-// Bounds of recovery, from the stated targets.
+// Longest allowed times of recovery.
 const (
-	noteBound            = 2 * time.Second
+	// noteBound is how long a published note may take to be in force on all hosts.
+	noteBound = 2 * time.Second
+	// plannedSizeNoteBound is the same for a fleet of the planned size.
 	plannedSizeNoteBound = 12 * time.Second
-	// membershipBound is how long a host that is gone may stay in answers, and one that is back may be missing.
+	// membershipBound is how long a host that has ended may stay in address responses, and one that is back may be missing.
 	membershipBound = 5 * time.Second
 )
 
-// expectServing checks that a caller gets an answer.
+// expectServing checks that a request of a new caller succeeds.
 func (f *fleet) expectServing(seed uint64) {
 	answer, err := f.newCaller(seed).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodGet, Path: "/serves"})
 	f.is.NoErr(err)
 	f.is.Equal(answer.Status, http.StatusOK)
 }
 
-// awaitLive waits until every running host lists exactly the given number of live hosts.
+// awaitLive waits until every running host has exactly the given number of live hosts in its membership table.
 func (f *fleet) awaitLive(count int, limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
@@ -41,10 +43,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.is.Fail() // the hosts do not agree on who is live in time
+	f.is.Fail() // a host has another number of live hosts in time
 	return limit
 }
 
+// TestRecoveryFromFailures checks that a fleet serves again within membershipBound after failures of hosts, of the network
+// and of the store.
 func TestRecoveryFromFailures(t *testing.T) {
 	cases := []struct {
 		name string
@@ -69,25 +73,25 @@
 			}
 			return f.awaitNote(1, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
-		{"failure domain cut off and healed", func(f *fleet) time.Duration {
-			parting := func(change func(a, b string)) {
+		{"failure domain partitioned and healed", func(f *fleet) time.Duration {
+			forEachLink := func(set func(a, b string)) {
 				for _, a := range []string{"entry-1", "entry-4"} {
 					for _, b := range []string{"entry-2", "entry-3", "entry-5", "entry-6", "store"} {
-						change(a, b)
+						set(a, b)
 					}
 				}
 			}
-			parting(f.net.Part)
+			forEachLink(f.net.Part)
 			time.Sleep(20 * time.Second)
 			number := f.publish(followingNote(1))
 			time.Sleep(noteBound)
 			f.is.Equal(len(f.nodes["entry-2"].host.membership.Live(f.nodes["entry-2"].host.now())), 4)
 			f.is.Equal(f.nodes["entry-1"].host.NoteNumber(), 1)
 			f.is.Equal(f.nodes["entry-2"].host.NoteNumber(), number)
-			parting(f.net.Heal)
+			forEachLink(f.net.Heal)
 			return f.awaitNote(number, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
-		{"store slow, two seconds a call", func(f *fleet) time.Duration {
+		{"store takes two seconds per call", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Delay: 2 * time.Second})
 			f.crash("entry-2")
 			f.start("entry-2", "")
@@ -99,7 +103,7 @@
 			f.start("entry-6", "")
 			return f.awaitNote(1, membershipBound) + f.awaitLive(6, membershipBound)
 		}},
-		{"store down while a domain is cut off", func(f *fleet) time.Duration {
+		{"store down while a failure domain is partitioned", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Down: true})
 			for _, b := range []string{"entry-2", "entry-3", "entry-5", "entry-6"} {
 				f.net.Part("entry-1", b)
@@ -119,7 +123,8 @@
 	}
 }
 
-// TestRecoveryFromOneWaySilence makes every connection between hosts silent in one direction, just before a note.
+// TestRecoveryFromOneWaySilence makes every open connection between hosts lose all data in one direction and then publishes
+// a note: it must come into force in the usual time, over new connections.
 func TestRecoveryFromOneWaySilence(t *testing.T) {
 	expectRecovery(t, func(f *fleet) time.Duration {
 		for i, a := range f.order {
@@ -132,7 +137,7 @@
 	})
 }
 
-// expectRecovery brings about a failure in a fleet and checks that it serves again in time.
+// expectRecovery causes a failure in a fleet and checks that the time to recover that fail returns is within the bound.
 func expectRecovery(t *testing.T, fail func(f *fleet) time.Duration) {
 	withFleetServing(t, 6, 3, echo, func(f *fleet, _ []*fakeBackend) {
 		took := fail(f)
@@ -142,7 +147,8 @@
 	})
 }
 
-// TestStoreDownForAnHour replaces every host, one after another, while the store is down, and publishes after it.
+// TestStoreDownForAnHour replaces every host, one after another, while the store is down: each must get the note from its
+// peers and become ready. A note published after that must come into force.
 func TestStoreDownForAnHour(t *testing.T) {
 	withFleetServing(t, 4, 3, echo, func(f *fleet, _ []*fakeBackend) {
 		f.publish(followingNote(1))
@@ -153,7 +159,7 @@
 			f.crash(name)
 			f.start(name, "")
 			took := f.awaitNote(2, membershipBound)
-			t.Logf("%s replaced while the store was down: ready after %v", name, took)
+			t.Logf("%s replaced while the store was down: all hosts ready after %v", name, took)
 			f.expectServing(uint64(len(name)))
 		}
 		f.store.SetFaults(standin.Faults{})
@@ -162,31 +168,32 @@
 	})
 }
 
-// TestAllSeedsReplaced replaces hosts one after another, each time at a new address, until no seed of the settings lives:
-// newcomers must find the others by the platform's host list.
+// TestAllSeedsReplaced replaces hosts one after another by hosts with new addresses, until none of the seeds in the settings
+// exists: new hosts must find the others through the platform's host list.
 func TestAllSeedsReplaced(t *testing.T) {
 	withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
 		f.publish(followingNote(1))
 		f.awaitNote(2, noteBound)
 		for i := range 3 {
-			gone := fmt.Sprintf("entry-%d", i+1)
+			replaced := fmt.Sprintf("entry-%d", i+1)
 			var list []platform.ListedHost
 			for name, n := range f.nodes {
 				list = append(list, platform.ListedHost{Name: name, Address: n.inner, State: platform.HostLive, Role: platform.RoleEntry})
 			}
-			f.store.SetHosts(list) // it lags: it still holds the host that goes
-			f.crash(gone)
-			f.remove(gone)
+			f.store.SetHosts(list) // the list lags: it still has the host that is about to end
+			f.crash(replaced)
+			f.remove(replaced)
 			f.adjustSettings = func(s *settings.Settings) { s.Peers.Seeds = []string{"10.9.9.9:1"} }
 			f.start(fmt.Sprintf("new-%d", i+1), "a")
 			f.awaitNote(2, membershipBound)
-			t.Logf("new-%d and the others know each other after %v", i+1, f.awaitLive(3, 2*membershipBound))
+			t.Logf("new-%d joined the membership of all hosts after %v", i+1, f.awaitLive(3, 2*membershipBound))
 		}
 		f.expectServing(1)
 	})
 }
 
-// TestStartWithoutStoreAndPeers checks that a host that reaches neither store nor peers is not ready and serves nothing as if it were.
+// TestStartWithoutStoreAndPeers checks that a host that can reach neither the store nor a peer does not become ready and
+// refuses requests.
 func TestStartWithoutStoreAndPeers(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.store.SetFaults(standin.Faults{Down: true})
--- a/internal/entry/serve_test.go
+++ b/internal/entry/serve_test.go
@@ -12,7 +12,8 @@
 	"briarcroft/internal/steering"
 )
 
-// TestResponsesAreForwardedUnchanged checks answers without a body, of unknown length, and header fields of one hop.
+// TestResponsesAreForwardedUnchanged checks that status, body and length of responses reach the caller, also without a body
+// and with a body of unknown length, and that hop-by-hop header fields do not. Length -2 means that it is not checked.
 func TestResponsesAreForwardedUnchanged(t *testing.T) {
 	behave := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		w.Header().Set("Keep-Alive", "timeout=5")
@@ -57,8 +58,8 @@
 	})
 }
 
-// TestSlowStreamOutlivesTheDeadline downloads for longer than the rule's deadline, which holds until the answer begins,
-// and checks that an answer which does not begin by then is given up on at once.
+// TestSlowStreamOutlivesTheDeadline checks that a response may take longer than the rule's deadline once it has begun, and
+// that a request whose response has not begun by the deadline fails at once.
 func TestSlowStreamOutlivesTheDeadline(t *testing.T) {
 	behave := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, _ string) {
 		if r.URL.Path == "/late" {
@@ -89,7 +90,8 @@
 	})
 }
 
-// TestStalledCallerLosesItsConnection checks that a caller who takes no byte holds neither the host nor a slot.
+// TestStalledCallerLosesItsConnection checks that a caller that stops reading its response is disconnected, so that the
+// request no longer occupies a slot of the target.
 func TestStalledCallerLosesItsConnection(t *testing.T) {
 	withFleetServing(t, 1, 1, truncatingDocument(`"v"`), func(f *fleet, _ []*fakeBackend) {
 		conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.nodes["entry-1"].listen)
@@ -103,6 +105,7 @@
 	})
 }
 
+// TestFleetServesRequests checks that a small fleet serves a plain request and one that must run at most once.
 func TestFleetServesRequests(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.startAll(3)
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -18,11 +18,12 @@
 	"briarcroft/internal/steering"
 )
 
-// soakCallers is how many callers send at the same time.
+// soakCallers is the number of callers that send requests concurrently.
 const soakCallers = 12
 
-// TestAtMostOnceSoak drives keyed requests through hosts, backend servers and a platform that fail in pairs,
-// and checks that nothing runs twice, that NotRun is never false, and that every answer is whole and its own.
+// TestAtMostOnceSoak sends keyed requests while two random faults at a time affect hosts, backend servers, the network and
+// the store. It checks that no key runs twice, that no request with outcome NotRun has run, and that each response is
+// complete and belongs to its request.
 func TestAtMostOnceSoak(t *testing.T) {
 	seeds, requests := []uint64{1, 2, 3}, 1500
 	if text := os.Getenv("BRIARCROFT_SOAK"); text != "" {
@@ -37,6 +38,7 @@
 	}
 }
 
+// soak is one run of TestAtMostOnceSoak; mu guards the random source and the maps.
 type soak struct {
 	t        *testing.T
 	f        *fleet
@@ -87,7 +89,8 @@
 	s.t.Logf("%d requests, %d sends, outcomes %v, faults %v", requests, s.sends, s.outcomes, s.faults)
 }
 
-// faultyHandler is a backend server that breaks, cuts, delays and refuses now and then.
+// faultyHandler is a backend handler that at random breaks the connection before or after the run, truncates its response,
+// refuses, or responds after the deadline.
 func (s *soak) faultyHandler(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 	answer := r.Method + " " + r.URL.Path + " " + body
 	switch n := s.intN(100); {
@@ -115,7 +118,7 @@
 	_, _ = w.Write([]byte(answer))
 }
 
-// totalRuns returns how often a key was run on all backend servers.
+// totalRuns returns how often requests with a key ran, over all backend servers.
 func (s *soak) totalRuns(key string) int {
 	sum := 0
 	for _, b := range s.backends {
@@ -124,7 +127,8 @@
 	return sum
 }
 
-// sendRepeatedly sends one request with one key, again and again and sometimes twice at a time, and checks what came of it.
+// sendRepeatedly sends the same request with the same key several times, some of them concurrently, and checks its outcomes
+// against the number of runs.
 func (s *soak) sendRepeatedly(path string) {
 	plain := s.intN(5) == 0
 	key := s.newKey(path, plain)
@@ -165,17 +169,17 @@
 	group.Wait()
 	runs := s.totalRuns(key)
 	if runs > 1 {
-		s.t.Errorf("%s with key %s ran %d times", path, key, runs)
+		s.t.Errorf("%s with key %s ran %d times, want at most 1", path, key, runs)
 	}
 	if answers > 0 && runs != 1 {
-		s.t.Errorf("%s with key %s was answered and ran %d times", path, key, runs)
+		s.t.Errorf("%s with key %s got a response but ran %d times", path, key, runs)
 	}
 	if refusals > 0 && runs > 0 && (!plain || sends == 1) {
-		s.t.Errorf("%s with key %s was refused as not run and ran %d times: %v", path, key, runs, history)
+		s.t.Errorf("%s with key %s got outcome NotRun but ran %d times: %v", path, key, runs, history)
 	}
 }
 
-// newKey returns a new key, plain or with a grant of a random host.
+// newKey returns a new key, either plain or with a grant of a random host; it is empty if that host issued none.
 func (s *soak) newKey(path string, plain bool) string {
 	if plain {
 		return "plain" + strings.ReplaceAll(path, "/", "-")
@@ -195,7 +199,8 @@
 	return s.f.nodes[name]
 }
 
-// send sends a key to a random host and returns "answered", an outcome, or "broken".
+// send sends a request with a key to a random host and returns "answered" for a response from a target, the outcome of a
+// refusal, or "broken" for a failed connection.
 func (s *soak) send(key, path string) (outcome, trace string) {
 	host := s.randomHost()
 	began := time.Now()
@@ -206,7 +211,7 @@
 	case response.StatusCode == http.StatusOK:
 		outcome = "answered"
 		if body != "POST "+path+" body of "+path {
-			s.t.Errorf("%s got another answer or a cut one: %q", path, body)
+			s.t.Errorf("%s got the response of another request or a truncated one: %q", path, body)
 		}
 	default:
 		outcome, reason = response.Header.Get(steering.HeaderOutcome), response.Header.Get(steering.HeaderReason)
@@ -219,7 +224,7 @@
 	return outcome, trace
 }
 
-// injectFaults brings about two faults at a time until it is stopped.
+// injectFaults starts two random faults every one to four seconds until stop is closed.
 func (s *soak) injectFaults(stop <-chan struct{}) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -235,11 +240,11 @@
 	}
 }
 
-// injectFault brings about one fault and mends it again.
+// injectFault causes one random fault and ends it after a random time.
 func (s *soak) injectFault() {
 	a, b := s.f.order[s.intN(len(s.f.order))], s.f.order[s.intN(len(s.f.order))]
 	last := time.Duration(500+s.intN(4000)) * time.Millisecond
-	kind := []string{"crash", "stop", "silent backend", "silent peer", "parted", "store down", "store slow", "lost confirmation", "late write"}[s.intN(9)]
+	kind := []string{"crash", "stop", "silent backend", "silent peer", "partition", "store down", "store slow", "lost confirmation", "late write"}[s.intN(9)]
 	s.mu.Lock()
 	s.faults[kind]++
 	s.mu.Unlock()
@@ -250,7 +255,7 @@
 		s.f.net.Silence(a, s.backends[s.intN(len(s.backends))].name)
 	case "silent peer":
 		s.f.net.Silence(a, b)
-	case "parted":
+	case "partition":
 		if a != b {
 			s.f.net.Part(a, b)
 			time.Sleep(last)
@@ -273,7 +278,8 @@
 	s.f.store.SetFaults(standin.Faults{})
 }
 
-// replace ends a host and starts another in its place, with the same name and addresses.
+// replace ends a host, by a crash or a graceful stop, and later starts another one with the same name and addresses.
+// It does nothing while two hosts are being replaced.
 func (s *soak) replace(name, kind string, after time.Duration) {
 	s.mu.Lock()
 	if s.replacing[name] || len(s.replacing) > 1 {
--- a/internal/entry/through_test.go
+++ b/internal/entry/through_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkThrough sends requests over loopback through a host to a backend server that answers at once.
+// BenchmarkThrough measures requests over loopback through an entry host to a backend server that responds immediately.
 func BenchmarkThrough(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }))
 	defer backend.Close()
