--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -14,7 +14,7 @@
 const (
 	// timerInterval is the period of the services' timers while any service has requests.
 	timerInterval = 5 * time.Millisecond
-	// idleTimerInterval is the same while no service has any.
+	// idleTimerInterval is the period of those timers while no service has requests.
 	idleTimerInterval = 100 * time.Millisecond
 	// hostListInterval is how often the platform's host list is read.
 	hostListInterval = 2 * time.Second
@@ -50,8 +50,8 @@
 }
 
 // heartbeatRound exchanges heartbeats with some peers and records changes in the membership. If this host was paused
-// since the last round, what it knows may be stale: it then stops counting store and peers as compared and reads the
-// store again.
+// since the last round, for example because its machine was suspended, its note and its membership table may be stale:
+// it then counts as not compared with the store and with peers, and reads the store again.
 func (h *Host) heartbeatRound(ctx context.Context) {
 	recipients := h.membership.Beat(h.now())
 	if h.membership.TakePaused() {
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestGracefulStopLosesNoRequest stops the home of a service under load: every request, keyed or not, must succeed at the
-// first attempt.
+// TestGracefulStopLosesNoRequest stops the home of a service under load: every request, keyed or not, must succeed
+// after a single send by its client.
 func TestGracefulStopLosesNoRequest(t *testing.T) {
 	withFleetServing(t, 4, 4, echo, func(f *fleet, _ []*fakeBackend) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -3,10 +3,11 @@
 //
 // Entry hosts share their membership, in-flight counts, configuration and quarantines with their peers over the protocol
 // of package inner. The configuration comes from notes, each of which is one revision of it, in the platform's store.
+// Each service has one or more homes, which are the entry hosts that callers should connect to for it.
 //
 // A non-idempotent request with an Idempotency-Key runs at most once. Its key holds a grant, which names the one
 // incarnation of an entry host that may run it; other hosts forward the request to that host. An incarnation is one run
-// of a host's process.
+// of a host's process. A request that has crashed several targets is put in quarantine and refused for a time.
 package entry
 
 import (
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -17,7 +17,7 @@
 const (
 	// noteBound is how long a published note may take to be in force on all hosts.
 	noteBound = 2 * time.Second
-	// plannedSizeNoteBound is the same for a fleet of the planned size.
+	// plannedSizeNoteBound is how long it may take in a fleet of the planned size, 40 hosts.
 	plannedSizeNoteBound = 12 * time.Second
 	// membershipBound is how long a host that has ended may stay in address responses, and one that is back may be missing.
 	membershipBound = 5 * time.Second
@@ -43,7 +43,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.is.Fail() // a host has another number of live hosts in time
+	f.is.Fail() // a host does not have the expected number of live hosts in time
 	return limit
 }
 
--- a/internal/entry/serve_test.go
+++ b/internal/entry/serve_test.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// TestFleetServesRequests checks that a small fleet serves a plain request and one that must run at most once.
+// TestFleetServesRequests checks that a small fleet serves an idempotent request and one that must run at most once.
 func TestFleetServesRequests(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.startAll(3)
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// soak is one run of TestAtMostOnceSoak; mu guards the random source and the maps.
+// soak is one run of TestAtMostOnceSoak; mu guards the random source, the totals and the nodes of the fleet.
 type soak struct {
 	t        *testing.T
 	f        *fleet
