--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -14,16 +14,17 @@
 	"briarcroft/internal/steering"
 )
 
-// isolatedMaxAge is how long, in seconds, callers may keep the answer of a host that hears no peer.
+// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that hears from no peer.
 const isolatedMaxAge = 1
 
-// serveAddresses tells a caller which entry hosts to connect to for a service.
-func (f *front) serveAddresses(w http.ResponseWriter, r *http.Request) {
+// serveAddresses answers GET /Addresses: the homes of a service, which are the entry hosts that a caller should connect
+// to, and a grant for its keyed requests.
+func (f *frontend) serveAddresses(w http.ResponseWriter, r *http.Request) {
 	h := f.host
 	name := r.URL.Query().Get("Service")
-	service, found := h.steering.Configuration().Service(name)
+	service, found := h.dispatcher.Configuration().Service(name)
 	if !found {
-		f.refuse(w, &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "UnknownService"})
+		f.writeRefusal(w, &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "UnknownService"})
 		return
 	}
 	domain := r.URL.Query().Get("Domain")
@@ -31,24 +32,24 @@
 		domain = h.settings.Host.Domain
 	}
 	now := h.now()
-	if h.table.Overdue(now) {
-		// This host was paused and has not yet compared itself with its peers.
-		f.refuse(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
+	if h.membership.Overdue(now) {
+		// This host was paused, so its membership table may be stale until the next round of heartbeats.
+		f.writeRefusal(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
 		return
 	}
 	answer := address.Answer{
-		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.Number(),
-		Grant: h.claims.Grant(now).String(), GrantHost: h.Name(),
+		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.NoteNumber(),
+		Grant: h.idempotency.Grant(now).String(), GrantHost: h.Name(),
 	}
-	live := h.table.Live(now)
-	if len(live) == 0 || h.table.Isolated(now) {
+	live := h.membership.Live(now)
+	if len(live) == 0 || h.membership.Isolated(now) {
 		answer.MaxAge = isolatedMaxAge
 	}
 	for _, m := range host.Homes(name, host.Wanted(name, service.Homes, live), domain, h.settings.Host.Region, live) {
 		answer.Addresses = append(answer.Addresses, toAddress(m))
 	}
 	if len(answer.Addresses) == 0 {
-		answer.Addresses = append(answer.Addresses, toAddress(h.table.Self()))
+		answer.Addresses = append(answer.Addresses, toAddress(h.membership.Self()))
 	}
 	page.Write(w, http.StatusOK, answer)
 }
@@ -57,15 +58,16 @@
 	return address.Address{Host: m.Name, Address: m.Listen, Domain: m.Domain, Incarnation: m.Incarnation}
 }
 
-func (f *front) serveNote(w http.ResponseWriter, _ *http.Request) {
+// serveNote answers GET /Note: the note in force. A note is one revision of the configuration.
+func (f *frontend) serveNote(w http.ResponseWriter, _ *http.Request) {
 	head, hash, _ := f.host.chain.Head()
 	page.Write(w, http.StatusOK, note.Status{
 		Host: f.host.Name(), Incarnation: f.host.incarnation, Number: head.Number, Hash: hash, Configuration: head.Configuration,
-		InForceSince: time.UnixMilli(f.host.inForce.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
+		InForceSince: time.UnixMilli(f.host.inForceSince.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
 	})
 }
 
-// Health is whether a host may serve.
+// Health is the response to GET /Health; its status code is 503 unless the host is ready and not leaving.
 type Health struct {
 	Host     string
 	Ready    bool
@@ -74,16 +76,16 @@
 	Note     int
 }
 
-func (f *front) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	self := f.host.table.Self()
+func (f *frontend) serveHealth(w http.ResponseWriter, _ *http.Request) {
+	self := f.host.membership.Self()
 	status := http.StatusOK
 	if !self.Ready || self.Leaving {
 		status = http.StatusServiceUnavailable
 	}
-	page.Write(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.table.Isolated(f.host.now()), self.Note})
+	page.Write(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.membership.Isolated(f.host.now()), self.Note})
 }
 
-// Status is everything that one host tells of itself.
+// Status is the response to GET /Status: what a host knows of itself, its peers and its services.
 type Status struct {
 	Host        string
 	Domain      string
@@ -98,45 +100,48 @@
 	Claims      claim.Size
 	Counters    Counters
 	Process     ProcessStatus
-	Unwritten   int64
+	// Unwritten is the number of event records that were kept but not logged because the log could not keep up.
+	Unwritten int64
 }
 
-// Counters only grow.
+// Counters are totals since the start of the host. Passed counts keyed requests that were forwarded to another host,
+// Kept resends that got a stored response, Joined resends that waited for a run in progress, and Cut responses that
+// broke off before their end.
 type Counters struct {
 	Requests, Passed, Kept, Joined, Refused, Cut int64
 }
 
 func (h *Host) status() Status {
-	self := h.table.Self()
+	self := h.membership.Self()
 	s := Status{
-		Host: self.Name, Domain: self.Domain, Incarnation: self.Incarnation, Ready: self.Ready, Leaving: self.Leaving, Note: h.Number(),
-		Peers: h.table.Peers(), Latency: h.histograms.Summaries(), Budget: h.budget.Usage(), Claims: h.claims.Size(),
-		Process: h.process(), Unwritten: h.book.Unwritten(),
+		Host: self.Name, Domain: self.Domain, Incarnation: self.Incarnation, Ready: self.Ready, Leaving: self.Leaving, Note: h.NoteNumber(),
+		Peers: h.membership.Peers(), Latency: h.histograms.Summaries(), Budget: h.budget.Usage(), Claims: h.idempotency.Size(),
+		Process: h.processStatus(), Unwritten: h.records.Unwritten(),
 		Counters: Counters{
-			h.stats.requests.Load(), h.stats.passed.Load(), h.stats.kept.Load(), h.stats.joined.Load(), h.stats.refused.Load(), h.stats.cut.Load(),
+			h.stats.requests.Load(), h.stats.forwarded.Load(), h.stats.stored.Load(), h.stats.joined.Load(), h.stats.refused.Load(), h.stats.truncated.Load(),
 		},
 	}
-	for _, spec := range h.steering.Configuration().Services {
-		if service := h.steering.Services()[spec.Name]; service != nil {
+	for _, spec := range h.dispatcher.Configuration().Services {
+		if service := h.dispatcher.Services()[spec.Name]; service != nil {
 			s.Services = append(s.Services, service.Status())
 		}
 	}
 	return s
 }
 
-func (f *front) serveStatus(w http.ResponseWriter, _ *http.Request) {
+func (f *frontend) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	page.Write(w, http.StatusOK, f.host.status())
 }
 
-// newVars returns the host's expvar map; it is not global, so that several hosts can live in one process.
+// newVars returns the host's expvar map. It is not published globally, so that several hosts can run in one process.
 func (h *Host) newVars() *expvar.Map {
 	vars := (&expvar.Map{}).Init()
 	vars.Set("Status", expvar.Func(func() any { return h.status() }))
 	return vars
 }
 
-func (f *front) serveVars(w http.ResponseWriter, _ *http.Request) {
+func (f *frontend) serveVars(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	// The caller went away if this fails.
+	// An error means that the caller has disconnected.
 	_, _ = w.Write([]byte(f.vars.String()))
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -8,25 +8,26 @@
 	"briarcroft/internal/host"
 )
 
-// demandEvery is how often the rates of the services are looked at.
-const demandEvery = time.Second
+// demandInterval is the period over which the request rate of each service is measured.
+const demandInterval = time.Second
 
-// demandDuty asks for more homes for services whose rate here is more than one home carries well.
-func (h *Host) demandDuty(ctx context.Context) {
+// demandLoop measures the request rate of each service on this host and announces in the membership how many homes
+// a service needs when its rate is too high for the present number.
+func (h *Host) demandLoop(ctx context.Context) {
 	demand := host.NewDemand()
 	last := map[string]int64{}
-	for duty.Sleep(ctx, demandEvery) {
-		live := h.table.Live(h.now())
-		for _, spec := range h.steering.Configuration().Services {
-			service := h.steering.Services()[spec.Name]
+	for duty.Sleep(ctx, demandInterval) {
+		live := h.membership.Live(h.now())
+		for _, spec := range h.dispatcher.Configuration().Services {
+			service := h.dispatcher.Services()[spec.Name]
 			if service == nil {
 				continue
 			}
 			requests := service.Requests()
-			rate := float64(requests-last[spec.Name]) / demandEvery.Seconds()
+			rate := float64(requests-last[spec.Name]) / demandInterval.Seconds()
 			last[spec.Name] = requests
 			demand.Observe(h.now(), spec.Name, rate, host.Wanted(spec.Name, spec.Homes, live))
 		}
-		h.table.SetWants(demand.Wants())
+		h.membership.SetWants(demand.Wants())
 	}
 }
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -10,99 +10,111 @@
 	"briarcroft/internal/record"
 )
 
-// Times of the duties.
+// Intervals of the background loops.
 const (
-	tickEvery     = 5 * time.Millisecond
-	idleTickEvery = 100 * time.Millisecond
-	hostListEvery = 2 * time.Second
-	noteEvery     = time.Second
+	// timerInterval is the period of the services' timers while any service has requests.
+	timerInterval = 5 * time.Millisecond
+	// idleTimerInterval is the period of those timers while no service has requests.
+	idleTimerInterval = 100 * time.Millisecond
+	// hostListInterval is how often the platform's host list is read.
+	hostListInterval = 2 * time.Second
+	// noteInterval is how often a watcher, and any host that is not ready, reads notes from the store.
+	noteInterval = time.Second
 )
 
-func (h *Host) startDuties(d *duty.Set) {
-	d.Start(h.beatDuty)
-	d.Start(h.noteDuty)
-	d.Start(h.watchDuty)
-	d.Start(h.tickDuty)
-	d.Start(h.countsDuty)
-	d.Start(h.probeDuty)
-	d.Start(h.hostListDuty)
-	d.Start(h.demandDuty)
+func (h *Host) startLoops(tasks *duty.Set) {
+	tasks.Start(h.heartbeatLoop)
+	tasks.Start(h.noteLoop)
+	tasks.Start(h.watchLoop)
+	tasks.Start(h.timerLoop)
+	tasks.Start(h.countsLoop)
+	tasks.Start(h.probeLoop)
+	tasks.Start(h.hostListLoop)
+	tasks.Start(h.demandLoop)
 }
 
-// tickDuty runs the timers of the services.
-func (h *Host) tickDuty(ctx context.Context) {
-	wait := tickEvery
+// timerLoop runs the timers of the services, such as those of queues and ejections.
+func (h *Host) timerLoop(ctx context.Context) {
+	wait := timerInterval
 	for duty.Sleep(ctx, wait) {
-		wait = idleTickEvery
-		if h.steering.Tick() {
-			wait = tickEvery
+		wait = idleTimerInterval
+		if h.dispatcher.Tick() {
+			wait = timerInterval
 		}
 	}
 }
 
-// beatDuty sends heartbeats.
-func (h *Host) beatDuty(ctx context.Context) { h.beats.Run(ctx, h.kick, h.beat) }
+// heartbeatLoop runs a round of heartbeats at each interval of the membership, and at once after triggerHeartbeat.
+func (h *Host) heartbeatLoop(ctx context.Context) {
+	h.heartbeats.Run(ctx, h.heartbeatTrigger, h.heartbeatRound)
+}
 
-func (h *Host) beat(ctx context.Context) {
-	recipients := h.table.Beat(h.now())
-	if h.table.TakePaused() {
-		h.peersRead.Store(false)
-		h.storeUp.Store(false)
-		h.book.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: h.chain.Number()})
-		h.hints.Push(hint{})
+// heartbeatRound exchanges heartbeats with some peers and records changes in the membership. If this host was paused
+// since the last round, for example because its machine was suspended, its note and its membership table may be stale:
+// it then counts as not compared with the store and with peers, and reads the store again.
+func (h *Host) heartbeatRound(ctx context.Context) {
+	recipients := h.membership.Beat(h.now())
+	if h.membership.TakePaused() {
+		h.peersCompared.Store(false)
+		h.storeReachable.Store(false)
+		h.records.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: h.chain.Number()})
+		h.noteHints.Push(noteHint{})
 	}
-	h.explainMembership()
-	h.beats.Round(ctx, recipients)
+	h.recordMembership()
+	h.heartbeats.Round(ctx, recipients)
 }
 
-func (h *Host) heartbeatRequest(news host.News) *inner.HeartbeatRequest {
-	request := inner.Request(h.Name(), news)
-	request.Quarantines = h.offenders()
+func (h *Host) heartbeatRequest(update host.News) *inner.HeartbeatRequest {
+	request := inner.Request(h.Name(), update)
+	request.Quarantines = h.quarantinesToWire()
 	return request
 }
 
-func (h *Host) takeReply(reply *inner.HeartbeatReply) {
-	h.heard(reply.Sender, reply.Members, reply.Quarantines)
+func (h *Host) handleHeartbeatReply(reply *inner.HeartbeatReply) {
+	h.handlePeerState(reply.Sender, reply.Members, reply.Quarantines)
 }
 
-// heard takes in the rest of what a peer sent, and asks for its note when that is newer.
-func (h *Host) heard(sender string, members []*inner.Member, quarantines []*inner.Quarantine) {
-	h.quarantine.Take(h.now(), fromWireOffenders(quarantines))
-	h.peersRead.Store(true)
-	if m, ahead := inner.Ahead(sender, members, h.chain.Number()); ahead {
-		h.hints.Push(hint{m.Inner, m.Note})
+// handlePeerState processes the parts of a heartbeat or its reply that the membership table does not handle:
+// it merges the peer's quarantines and queues the fetch of a note when the peer has a newer one.
+func (h *Host) handlePeerState(sender string, members []*inner.Member, quarantines []*inner.Quarantine) {
+	h.quarantine.Take(h.now(), quarantinesFromWire(quarantines))
+	h.peersCompared.Store(true)
+	if m, newer := inner.Ahead(sender, members, h.chain.Number()); newer {
+		h.noteHints.Push(noteHint{m.Inner, m.Note})
 	}
-	if h.chain.Number() > 0 && !h.table.Self().Ready {
-		h.refreshReady()
+	if h.chain.Number() > 0 && !h.membership.Self().Ready {
+		h.updateReady()
 	}
 }
 
-// refreshReady makes the host ready once it has a note and has read it from the store or compared it with a peer.
-func (h *Host) refreshReady() {
-	ready := h.chain.Number() > 0 && (h.storeUp.Load() || h.peersRead.Load())
-	if ready != h.table.Self().Ready {
-		h.table.SetReady(ready)
+// updateReady sets whether the host is ready to serve: it must have a note, and must have read it from the store or
+// compared it with that of a peer.
+func (h *Host) updateReady() {
+	ready := h.chain.Number() > 0 && (h.storeReachable.Load() || h.peersCompared.Load())
+	if ready != h.membership.Self().Ready {
+		h.membership.SetReady(ready)
 	}
 }
 
-func (h *Host) explainMembership() {
-	for _, e := range h.table.TakeEvents() {
-		h.book.Add(record.OfMembership(e, h.chain.Number()))
+// recordMembership adds records of the changes in the membership and of the homes that moved by them.
+func (h *Host) recordMembership() {
+	for _, e := range h.membership.TakeEvents() {
+		h.records.Add(record.OfMembership(e, h.chain.Number()))
 	}
-	h.explainHomes()
+	h.recordHomeMoves()
 }
 
-// hostListDuty reads the platform's list of live and leaving hosts.
-func (h *Host) hostListDuty(ctx context.Context) {
+// hostListLoop reads the platform's list of live and leaving hosts periodically, if the platform has one.
+func (h *Host) hostListLoop(ctx context.Context) {
 	if h.config.HostList == nil {
 		return
 	}
 	leaving := map[string]bool{}
 	for {
 		if list, err := h.config.HostList.Read(ctx); err == nil {
-			leaving = h.takeHostList(list, leaving)
+			leaving = h.applyHostList(list, leaving)
 		}
-		if !duty.Sleep(ctx, hostListEvery) {
+		if !duty.Sleep(ctx, hostListInterval) {
 			return
 		}
 	}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -24,21 +24,21 @@
 	"github.com/rs/zerolog"
 )
 
-// fleet is a set of entry hosts, backend servers and a platform on an in-memory network, in virtual time.
+// fleet is a set of entry hosts, backend servers and a fake platform store on an in-memory network, in virtual time.
 type fleet struct {
-	is      *is.I
-	net     *fakenet.Network
-	store   *standin.Standin
-	archive *note.Archive
-	nodes   map[string]*node
-	order   []string
-	servers []*http.Server
-	closers []func()
-	limits  func(*settings.Settings)
-	running sync.WaitGroup
+	is             *is.I
+	net            *fakenet.Network
+	store          *standin.Standin
+	archive        *note.Archive
+	nodes          map[string]*node
+	order          []string
+	servers        []*http.Server
+	closers        []func()
+	adjustSettings func(*settings.Settings)
+	serving        sync.WaitGroup
 }
 
-// node is one entry host.
+// node is an entry host of a fleet with its addresses and the functions that end it.
 type node struct {
 	host          *Host
 	listen, inner string
@@ -48,14 +48,14 @@
 	close         func()
 }
 
-// storeURL is where the stand-in listens.
+// Address of the fake platform store.
 const (
 	storeAddress = "10.1.0.1:2379"
 	storeURL     = "http://" + storeAddress
 )
 
-// inFleet runs a test in virtual time with a platform and no hosts yet.
-func inFleet(t *testing.T, run func(f *fleet)) {
+// withFleet runs a test in virtual time on a fleet that has a platform store but no hosts yet.
+func withFleet(t *testing.T, run func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), net: fakenet.New(), store: standin.New(), nodes: map[string]*node{}}
 		f.serve("store", storeAddress, f.store)
@@ -76,7 +76,7 @@
 	l := f.net.Listen(node, address)
 	server := &http.Server{Handler: handler}
 	f.servers = append(f.servers, server)
-	f.running.Go(func() { _ = server.Serve(l) })
+	f.serving.Go(func() { _ = server.Serve(l) })
 	return l.Addr().String()
 }
 
@@ -95,12 +95,12 @@
 	for _, s := range f.servers {
 		_ = s.Close()
 	}
-	f.running.Wait()
-	// Handlers that still sleep end before the test does.
+	f.serving.Wait()
+	// synctest requires that handlers that are still asleep return before the test ends.
 	time.Sleep(5 * time.Second)
 }
 
-// start starts an entry host, anew with its old addresses when there was one of that name.
+// start starts an entry host. If there was a host of that name before, the new one has its addresses and failure domain.
 func (f *fleet) start(name, domain string) *node {
 	old := f.nodes[name]
 	n := &node{domain: domain, done: make(chan error, 1)}
@@ -118,8 +118,8 @@
 			s.Peers.Seeds = append(s.Peers.Seeds, f.nodes[other].inner)
 		}
 	}
-	if f.limits != nil {
-		f.limits(&s)
+	if f.adjustSettings != nil {
+		f.adjustSettings(&s)
 	}
 	store, closeStore := f.openStore(name)
 	list, closeList := platform.NewHostList(platform.HostListConfig{URL: storeURL + "/Hosts", Timeout: time.Second, Dial: f.net.Dialer(name)})
@@ -137,7 +137,7 @@
 	return n
 }
 
-// startAll starts a number of hosts over the failure domains of today, or those of the planned size when there are many.
+// startAll starts a number of hosts spread over three failure domains, or over five if there are more than 30 hosts.
 func (f *fleet) startAll(count int) {
 	domains := []string{"a", "b", "c"}
 	if count > 30 {
@@ -148,7 +148,7 @@
 	}
 }
 
-// crash ends a host at once, as when its machine fails.
+// crash ends a host and its connections without a graceful stop, as when its machine fails.
 func (f *fleet) crash(name string) {
 	n := f.nodes[name]
 	f.net.Crash(name)
@@ -158,7 +158,7 @@
 	f.net.Crash(name)
 }
 
-// stop stops a host gracefully and waits for its end.
+// stop stops a host gracefully and waits until it has ended.
 func (f *fleet) stop(name string) error {
 	n := f.nodes[name]
 	n.stop()
@@ -167,10 +167,10 @@
 	return err
 }
 
-// forget takes a host that has ended out of the fleet.
-func (f *fleet) forget(name string) { delete(f.nodes, name) }
+// remove removes a host that has ended from the fleet.
+func (f *fleet) remove(name string) { delete(f.nodes, name) }
 
-// publish accepts a note and returns its number.
+// publish publishes a note to the store and returns its number.
 func (f *fleet) publish(text string) int {
 	n, err := note.Parse("note", []byte(text))
 	f.is.NoErr(err)
@@ -179,43 +179,43 @@
 	return r.Number
 }
 
-// await waits until a note is in force and the host ready on every host, and returns how long it took.
-func (f *fleet) await(number int, limit time.Duration) time.Duration {
+// awaitNote waits until every host is ready and has the note in force, and returns how long that took.
+func (f *fleet) awaitNote(number int, limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
-		late := 0
+		pending := 0
 		for _, n := range f.nodes {
-			if n.host.Number() < number || !n.host.Ready() {
-				late++
+			if n.host.NoteNumber() < number || !n.host.Ready() {
+				pending++
 			}
 		}
-		if late == 0 {
+		if pending == 0 {
 			return time.Since(start)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.is.Fail() // the note is not in force everywhere in time
+	f.is.Fail() // a host is not ready or does not have the note in force in time
 	return limit
 }
 
-// awaitPeers waits until every host knows every other as live.
+// awaitPeers waits until every host has all hosts as live in its membership table.
 func (f *fleet) awaitPeers(limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
-		whole := true
+		complete := true
 		for _, n := range f.nodes {
-			whole = whole && len(n.host.table.Live(n.host.now())) == len(f.nodes)
+			complete = complete && len(n.host.membership.Live(n.host.now())) == len(f.nodes)
 		}
-		if whole {
+		if complete {
 			return time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.is.Fail() // the hosts do not know each other in time
+	f.is.Fail() // a host does not have all hosts in its membership table in time
 	return limit
 }
 
-// newCaller returns a caller that knows all hosts.
+// newCaller returns a client of the fleet, with the addresses of all hosts as its seeds.
 func (f *fleet) newCaller(seed uint64) *caller.Client {
 	var seeds []string
 	for _, name := range f.order {
@@ -228,13 +228,13 @@
 	return c
 }
 
-// fakeBackend answers with what behave says and counts what it ran.
+// fakeBackend is a backend server that responds through handler, which counts the requests that it ran with recordRun.
 type fakeBackend struct {
 	name    string
 	mu      sync.Mutex
 	runs    map[string]int
 	total   int
-	behave  func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)
+	handler func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)
 	address string
 }
 
@@ -246,44 +246,44 @@
 	if r.URL.Path == "/Report" {
 		return
 	}
-	b.behave(b, w, r, string(text))
+	b.handler(b, w, r, string(text))
 }
 
-// ran counts a run of a keyed request.
-func (b *fakeBackend) ran(r *http.Request) {
+// recordRun counts a run of a request, in total and by Idempotency-Key.
+func (b *fakeBackend) recordRun(r *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[r.Header.Get("Idempotency-Key")]++
 	b.total++
 }
 
-func (b *fakeBackend) count() int {
+func (b *fakeBackend) totalRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total
 }
 
-func (b *fakeBackend) runsOf(key string) int {
+func (b *fakeBackend) runsWithKey(key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[key]
 }
 
-// work takes 5 ms and echoes the request.
-func work(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-	b.ran(r)
+// echo is a backend handler that takes 5 ms and responds with method, path and body of the request.
+func echo(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	b.recordRun(r)
 	time.Sleep(5 * time.Millisecond)
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.Path, body)
 }
 
-// backends starts backend servers and returns them with the text of a note that names them.
+// backends starts backend servers and returns them with the text of a first note that has them as targets of service s.
 func (f *fleet) backends(count int, behave func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)) ([]*fakeBackend, string) {
 	var list []*fakeBackend
 	var b strings.Builder
 	b.WriteString("[Note]\nFollows = 0\nOperator = test\nReason = first\n[Service s]\nReportPath = /Report\n" +
 		"[Rule read]\nPath = /\nService = s\nClass = read\nDeadline = 2s\nNotRunStatuses = 503\n")
 	for i := range count {
-		fake := &fakeBackend{name: fmt.Sprintf("target-%d", i+1), runs: map[string]int{}, behave: behave}
+		fake := &fakeBackend{name: fmt.Sprintf("target-%d", i+1), runs: map[string]int{}, handler: behave}
 		fake.address = f.serve(fake.name, "", fake)
 		list = append(list, fake)
 		fmt.Fprintf(&b, "[Target %s]\nService = s\nAddress = %s\nDomain = a\n", fake.name, fake.address)
@@ -291,7 +291,7 @@
 	return list, b.String()
 }
 
-// get sends one request to a host on a new connection.
+// send sends one request to a host on a new connection and returns the response with its body.
 func (f *fleet) send(host *node, method, path, body string, header map[string]string) (*http.Response, string, error) {
 	transport := &http.Transport{DialContext: f.net.Dialer("caller"), DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
--- /dev/null
+++ b/internal/entry/hostlist.go
@@ -0,0 +1,35 @@
+package entry
+
+import (
+	"briarcroft/internal/platform"
+	"briarcroft/internal/route"
+)
+
+// applyHostList drains the targets and entry hosts that the platform's host list marks as leaving, and ends the draining
+// of targets that were leaving in the previous list. It returns the addresses of leaving hosts.
+func (h *Host) applyHostList(list []platform.ListedHost, previous map[string]bool) map[string]bool {
+	addresses, names := map[string]bool{}, map[string]bool{}
+	var entryHosts []string
+	for _, listed := range list {
+		if listed.Role == platform.RoleEntry && listed.State != platform.HostLeaving {
+			entryHosts = append(entryHosts, listed.Address)
+		}
+		if listed.State == platform.HostLeaving {
+			addresses[listed.Address] = true
+			names[listed.Name] = true
+		}
+	}
+	h.membership.TakeList(entryHosts, names)
+	for _, t := range h.dispatcher.Configuration().Targets {
+		service := h.dispatcher.Services()[t.Service]
+		switch {
+		case service == nil:
+			// A note that came into force meanwhile has removed the service.
+		case addresses[t.Address]:
+			service.Drain(t.Name, route.CauseLeaving)
+		case previous[t.Address]:
+			service.Undrain(t.Name, route.CauseListed)
+		}
+	}
+	return addresses
+}
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -13,74 +13,77 @@
 	"briarcroft/internal/record"
 )
 
-// watchersPerDomain is how many hosts of a failure domain read the store for the others.
+// watchersPerDomain is how many entry hosts of a failure domain, the watchers, read notes from the store; the others get
+// them from peers. The load on the store thus depends on the number of failure domains and not on that of hosts.
 const watchersPerDomain = 2
 
-// noteDuty brings newer notes in force: on a peer's hint, and from the store where this host is a watcher.
-func (h *Host) noteDuty(ctx context.Context) {
-	h.catchUp(ctx)
+// noteLoop puts newer notes in force. It fetches them from the peer or the store that a hint names. Without a hint it
+// reads the store once per noteInterval if this host is a watcher or not ready yet.
+func (h *Host) noteLoop(ctx context.Context) {
+	h.readStore(ctx)
 	for ctx.Err() == nil {
-		wait, cancel := context.WithTimeout(ctx, noteEvery)
-		hint, hinted := h.hints.Pop(wait)
+		waitCtx, cancel := context.WithTimeout(ctx, noteInterval)
+		hint, received := h.noteHints.Pop(waitCtx)
 		cancel()
 		switch {
-		case hinted && hint.inner != "" && hint.note <= h.chain.Number():
-			// Another peer was quicker.
-		case hinted && hint.inner != "":
-			h.fetch(ctx, hint.inner)
-		case hinted, h.isWatcher(), !h.table.Self().Ready:
-			h.catchUp(ctx)
+		case received && hint.address != "" && hint.number <= h.chain.Number():
+			// The note has already come from elsewhere.
+		case received && hint.address != "":
+			h.fetchNotes(ctx, hint.address)
+		case received, h.isWatcher(), !h.membership.Self().Ready:
+			h.readStore(ctx)
 		}
 	}
 }
 
-// isWatcher reports whether this host reads the store for its failure domain.
+// isWatcher reports whether this host is one of the watchers of its failure domain; see watchersPerDomain.
 func (h *Host) isWatcher() bool {
-	return host.IsWatcher(h.table.Self(), h.table.Live(h.now()), watchersPerDomain)
+	return host.IsWatcher(h.membership.Self(), h.membership.Live(h.now()), watchersPerDomain)
 }
 
-// catchUp reads newer notes from the store; a stale or failed read changes nothing.
-func (h *Host) catchUp(ctx context.Context) {
-	before := h.chain.Number()
+// readStore reads newer notes from the store and puts them in force. A read that is stale or fails leaves the present
+// note in force. It adds a record when the store becomes reachable or unreachable.
+func (h *Host) readStore(ctx context.Context) {
+	previous := h.chain.Number()
 	err := h.archive.CatchUp(ctx, h.chain)
-	up := err == nil
-	first := !h.storeAsked.Swap(true)
-	changed := up != h.storeUp.Swap(up)
-	if ctx.Err() == nil && (changed && !first || first && !up) {
-		h.explainStore(err)
+	reachable := err == nil
+	firstRead := !h.storeRead.Swap(true)
+	changed := reachable != h.storeReachable.Swap(reachable)
+	if ctx.Err() == nil && (changed && !firstRead || firstRead && !reachable) {
+		h.recordStoreState(err)
 	}
-	h.adopted(before, "Store")
-	h.refreshReady()
+	h.applyHead(previous, "Store")
+	h.updateReady()
 }
 
-func (h *Host) explainStore(err error) {
+func (h *Host) recordStoreState(err error) {
 	r := record.Record{Kind: record.StoreReturned, Cause: "Read", Note: h.chain.Number()}
 	if err != nil {
 		r.Kind, r.Evidence.Detail = record.StoreLost, err.Error()
 	}
-	h.book.Add(r)
+	h.records.Add(r)
 }
 
-// fetch reads newer notes from a peer.
-func (h *Host) fetch(ctx context.Context, address string) {
-	before := h.chain.Number()
-	reply, err := h.client.Notes(ctx, address, before)
+// fetchNotes fetches newer notes from the peer at an address and puts them in force.
+func (h *Host) fetchNotes(ctx context.Context, address string) {
+	previous := h.chain.Number()
+	reply, err := h.client.Notes(ctx, address, previous)
 	if err != nil {
 		return
 	}
-	if err := adoptReply(h.chain, reply); err != nil {
-		h.book.Add(record.Record{Kind: record.NoteRejected, Cause: "Chain", Note: before, Evidence: record.Evidence{Peer: address, Detail: err.Error()}})
+	if err := applyNotes(h.chain, reply); err != nil {
+		h.records.Add(record.Record{Kind: record.NoteRejected, Cause: "Chain", Note: previous, Evidence: record.Evidence{Peer: address, Detail: err.Error()}})
 	}
-	h.adopted(before, "Peer")
-	h.refreshReady()
+	h.applyHead(previous, "Peer")
+	h.updateReady()
 }
 
-// adoptReply brings a chain forward by what a peer sent; errors are note.ErrChain.
-func adoptReply(chain *note.Chain, reply *inner.FetchNotesReply) error {
+// applyNotes extends the chain of notes by the snapshot and the records that a peer sent; errors are note.ErrChain.
+func applyNotes(chain *note.Chain, reply *inner.FetchNotesReply) error {
 	if len(reply.Snapshot) > 0 {
 		var s note.Snapshot
 		if err := json.Unmarshal(reply.Snapshot, &s); err != nil {
-			return note.ErrChain.New("the peer sent a snapshot that cannot be read (%v); ask another", err)
+			return note.ErrChain.New("cannot decode the snapshot that the peer sent: %v", err)
 		}
 		if _, err := chain.AdoptSnapshot(s); err != nil {
 			return err
@@ -89,7 +92,7 @@
 	for _, text := range reply.Records {
 		var r note.Record
 		if err := json.Unmarshal(text, &r); err != nil {
-			return note.ErrChain.New("the peer sent a record that cannot be read (%v); ask another", err)
+			return note.ErrChain.New("cannot decode a record that the peer sent: %v", err)
 		}
 		if _, err := chain.Adopt(r); err != nil {
 			return err
@@ -98,44 +101,45 @@
 	return nil
 }
 
-// adopted puts the chain's head in force here and tells the peers, when it is newer than before.
-func (h *Host) adopted(before int, cause string) {
+// applyHead puts the head of the chain in force on this host if it is newer than the note numbered previous, and starts
+// a round of heartbeats so that peers learn of it. cause is where the note came from, for the event record.
+func (h *Host) applyHead(previous int, cause string) {
 	head, hash, configuration := h.chain.Head()
-	if head.Number <= before {
+	if head.Number <= previous {
 		return
 	}
-	h.steering.Adopt(configuration)
-	h.inForce.Store(time.Now().UnixMilli())
-	h.table.SetNote(head.Number)
-	h.book.Add(record.Record{
+	h.dispatcher.Adopt(configuration)
+	h.inForceSince.Store(time.Now().UnixMilli())
+	h.membership.SetNote(head.Number)
+	h.records.Add(record.Record{
 		Kind: record.NoteAdopted, Cause: cause, Note: head.Number,
 		Evidence: record.Evidence{Hash: hash, Peer: head.Note.Operator, Detail: head.Note.Reason},
 	})
-	h.kickBeat()
+	h.triggerHeartbeat()
 }
 
-// watchDuty holds the store's watch while this host is a watcher.
-func (h *Host) watchDuty(ctx context.Context) {
-	for duty.Sleep(ctx, noteEvery) {
+// watchLoop keeps a watch on the notes in the store open while this host is a watcher.
+func (h *Host) watchLoop(ctx context.Context) {
+	for duty.Sleep(ctx, noteInterval) {
 		if !h.isWatcher() {
 			continue
 		}
-		watching, cancel := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			// The watch only saves time: the note duty reads the store each second as well.
-			_ = h.config.Store.Watch(watching, note.KeyPrefix, func(platform.Entry) { h.hints.Push(hint{}) })
+			// The watch only makes it faster: noteLoop also reads the store once per noteInterval.
+			_ = h.config.Store.Watch(watchCtx, note.KeyPrefix, func(platform.Entry) { h.noteHints.Push(noteHint{}) })
 		}()
-		h.watchUntil(watching, done)
+		h.watchUntil(watchCtx, done)
 		cancel()
 		<-done
 	}
 }
 
-// watchUntil returns when the watch ended or this host is no watcher any more.
+// watchUntil returns when the watch or ctx has ended, or when this host is no longer a watcher.
 func (h *Host) watchUntil(ctx context.Context, done <-chan struct{}) {
-	ticker := time.NewTicker(noteEvery)
+	ticker := time.NewTicker(noteInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -13,42 +13,48 @@
 	"golang.org/x/time/rate"
 )
 
-// Places and times of plain keys in the store.
+// Store keys and times of claims on plain keys.
 const (
-	claimPrefix  = "briarcroft/claims/"
-	claimLease   = 24 * time.Hour
-	leaseRenewal = time.Hour
-	// settleTries is how often an unconfirmed claim is settled by asking again.
-	settleTries = 3
-	settlePause = 50 * time.Millisecond
+	claimKeyPrefix = "briarcroft/claims/"
+	// claimLeaseTime is how long a claim stays in the store after its lease was granted.
+	claimLeaseTime = 24 * time.Hour
+	// leaseRenewalAge is the age at which a lease is replaced for new claims. It is a small part of claimLeaseTime,
+	// so that each claim stays in the store much longer than its key may be used.
+	leaseRenewalAge = time.Hour
+	// createAttempts is how often a claim is written to the store until the store confirms who holds it.
+	createAttempts   = 3
+	createRetryDelay = 50 * time.Millisecond
 )
 
-// plainClaims claims plain keys in the store, at a bounded rate.
-type plainClaims struct {
+// plainKeyStore claims plain keys in the platform's store, at a limited rate. A plain key is an Idempotency-Key
+// without a grant; the store decides which incarnation of which host may run its request.
+type plainKeyStore struct {
 	store   platform.Store
 	limiter *rate.Limiter
-	// leasing holds one token while nobody asks the store for a lease.
-	leasing chan struct{}
-	lease   platform.LeaseID
-	leased  time.Time
+	// leaseLock guards lease and leasedAt. It is a mutex that can be waited for with a context: it holds one token while
+	// it is unlocked.
+	leaseLock chan struct{}
+	lease     platform.LeaseID
+	leasedAt  time.Time
 }
 
-func newPlainClaims(store platform.Store, perSec float64) *plainClaims {
-	p := &plainClaims{store: store, limiter: rate.NewLimiter(rate.Limit(perSec), int(max(1, perSec))), leasing: make(chan struct{}, 1)}
-	p.leasing <- struct{}{}
+func newPlainKeyStore(store platform.Store, perSec float64) *plainKeyStore {
+	p := &plainKeyStore{store: store, limiter: rate.NewLimiter(rate.Limit(perSec), int(max(1, perSec))), leaseLock: make(chan struct{}, 1)}
+	p.leaseLock <- struct{}{}
 	return p
 }
 
-// owner is the value of a claimed key: the incarnation that alone may run the request.
+// owner is the value of a claimed key in the store: the grant of the only incarnation that may run the request.
 type owner struct {
 	Host        string
 	Incarnation string
 	Issued      int64
 }
 
-// claim gives a plain key a grant: ours when the claim is won, else the one of the host that holds it.
-// Claimed is false when the store gave no answer; nothing was run then, and a claim that takes effect late names our grant.
-func (p *plainClaims) claim(ctx context.Context, k claim.Key, own claim.Grant) (key claim.Key, claimed bool) {
+// claim returns the plain key with a grant: newGrant if this host wins the claim, or else the grant that the store holds.
+// claimed is false when the claim was not confirmed. The request has not run then, and if the write takes effect later,
+// the store names newGrant, so that no other host can run the request.
+func (p *plainKeyStore) claim(ctx context.Context, k claim.Key, newGrant claim.Grant) (key claim.Key, claimed bool) {
 	if !p.limiter.Allow() {
 		return k, false
 	}
@@ -56,25 +62,25 @@
 	if err != nil {
 		return k, false
 	}
-	value, err := json.Marshal(owner{own.Host, strconv.FormatUint(own.Incarnation, 10), own.Issued})
+	value, err := json.Marshal(owner{newGrant.Host, strconv.FormatUint(newGrant.Incarnation, 10), newGrant.Issued})
 	if err != nil {
 		return k, false
 	}
-	for range settleTries {
-		result, err := p.store.Create(ctx, claimPrefix+k.Suffix, value, lease)
+	for range createAttempts {
+		result, err := p.store.Create(ctx, claimKeyPrefix+k.Suffix, value, lease)
 		if err == nil {
-			return settled(k, own, result)
+			return grantFromStore(k, newGrant, result)
 		}
-		if !duty.Sleep(ctx, settlePause) {
+		if !duty.Sleep(ctx, createRetryDelay) {
 			break
 		}
 	}
 	return k, false
 }
 
-// settled returns the key under the grant that the store holds for it.
-func settled(k claim.Key, own claim.Grant, result platform.CreateResult) (claim.Key, bool) {
-	k.Grant = own
+// grantFromStore returns the key with the grant that the store holds for it, and false if that cannot be decoded.
+func grantFromStore(k claim.Key, newGrant claim.Grant, result platform.CreateResult) (claim.Key, bool) {
+	k.Grant = newGrant
 	if result.Won {
 		return k, true
 	}
@@ -90,21 +96,22 @@
 	return k, true
 }
 
-// currentLease returns a lease that still has most of its time, so that a claim outlives its window by far.
-func (p *plainClaims) currentLease(ctx context.Context) (platform.LeaseID, error) {
+// currentLease returns the lease for new claims and replaces it when it is older than leaseRenewalAge.
+// It returns platform.ErrUnavailable when ctx ends while another request renews the lease.
+func (p *plainKeyStore) currentLease(ctx context.Context) (platform.LeaseID, error) {
 	select {
-	case <-p.leasing:
+	case <-p.leaseLock:
 	case <-ctx.Done():
-		return 0, platform.ErrUnavailable.New("the store has not given a lease in time; send the key again")
+		return 0, platform.ErrUnavailable.New("the store did not grant a lease before the request's deadline; send the request again with the same key")
 	}
-	defer func() { p.leasing <- struct{}{} }()
-	if p.lease != 0 && time.Since(p.leased) < leaseRenewal {
+	defer func() { p.leaseLock <- struct{}{} }()
+	if p.lease != 0 && time.Since(p.leasedAt) < leaseRenewalAge {
 		return p.lease, nil
 	}
-	lease, err := p.store.Lease(ctx, claimLease)
+	lease, err := p.store.Lease(ctx, claimLeaseTime)
 	if err != nil {
 		return 0, err
 	}
-	p.lease, p.leased = lease, time.Now()
+	p.lease, p.leasedAt = lease, time.Now()
 	return lease, nil
 }
--- a/internal/entry/probes.go
+++ b/internal/entry/probes.go
@@ -16,20 +16,22 @@
 
 // Times and sizes of probes.
 const (
-	probeEvery   = 200 * time.Millisecond
-	probeTimeout = 500 * time.Millisecond
-	probeBytes   = 512
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
+	// probeBytes is the traffic charged to the measuring budget for a probe, and the most that is read of a response body.
+	probeBytes = 512
 )
 
-// probeDuty asks idle, ejected and draining targets for their report, as far as the budget allows.
-func (h *Host) probeDuty(ctx context.Context) {
+// probeLoop requests the load report of targets that are idle, ejected or draining. Probes are limited by the measuring
+// budget of each failure domain; when it is used up, the rest of the round is skipped.
+func (h *Host) probeLoop(ctx context.Context) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: probeTimeout, DialContext: h.config.Dial}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: probeTimeout}
-	for duty.Sleep(ctx, probeEvery) {
-		for _, p := range h.steering.Probes() {
+	for duty.Sleep(ctx, probeInterval) {
+		for _, p := range h.dispatcher.Probes() {
 			if !h.budget.Allow(h.now(), meter.ActivityProbe, p.Domain, probeBytes) {
-				h.explainBudget(p.Domain)
+				h.recordBudgetExhausted(p.Domain)
 				break
 			}
 			h.probe(ctx, client, p)
@@ -47,7 +49,7 @@
 	if err != nil {
 		return
 	}
-	// Only the header fields count; the rest is read so that the connection can be used again.
+	// The report is in the header fields; the body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, probeBytes))
 	_ = response.Body.Close()
 	inFlight, err := strconv.Atoi(response.Header.Get(steering.HeaderLoad))
@@ -55,21 +57,22 @@
 		inFlight = 0
 	}
 	p.Take(route.Report{InFlight: inFlight, Draining: response.Header.Get(steering.HeaderDraining) == "true", Age: time.Since(started)}, response.StatusCode)
-	h.budget.Charge(h.now(), min(time.Since(started), probeCore))
+	h.budget.Charge(h.now(), min(time.Since(started), maxProbeCPUTime))
 }
 
-// probeCore bounds the processor time that is charged for one probe; most of a probe is waiting.
-const probeCore = 200 * time.Microsecond
+// maxProbeCPUTime bounds the processor time that is charged for one probe, since most of its duration is waiting.
+const maxProbeCPUTime = 200 * time.Microsecond
 
-// explainBudget writes a record when the budget refuses, once in a while.
-func (h *Host) explainBudget(domain string) {
+// recordBudgetExhausted adds a record that the measuring budget has refused a probe, at most once per budgetRecordInterval.
+func (h *Host) recordBudgetExhausted(domain string) {
 	now := h.now()
-	last := time.Duration(h.stats.budgetExplained.Load())
-	if last != 0 && now-last < budgetExplainEvery {
+	lastRecorded := time.Duration(h.stats.budgetRecordedAt.Load())
+	if lastRecorded != 0 && now-lastRecorded < budgetRecordInterval {
 		return
 	}
-	h.stats.budgetExplained.Store(int64(now))
-	h.book.Add(record.Record{Kind: record.BudgetExhausted, Cause: "MeasuringBudget", Note: h.chain.Number(), Evidence: record.Evidence{Detail: domain}})
+	h.stats.budgetRecordedAt.Store(int64(now))
+	h.records.Add(record.Record{Kind: record.BudgetExhausted, Cause: "MeasuringBudget", Note: h.chain.Number(), Evidence: record.Evidence{Detail: domain}})
 }
 
-const budgetExplainEvery = 10 * time.Second
+// budgetRecordInterval is the shortest time between two records of an exhausted budget.
+const budgetRecordInterval = 10 * time.Second
--- a/internal/entry/protocol_test.go
+++ b/internal/entry/protocol_test.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 )
 
-// writeCertificate writes the test library's certificate and key as PEM files.
+// writeCertificate writes the certificate and key of httptest as PEM files and returns their paths and a pool that trusts it.
 func writeCertificate(is *is.I, dir string) (certificate, key string, pool *x509.CertPool) {
 	server := httptest.NewTLSServer(http.NotFoundHandler())
 	defer server.Close()
@@ -33,8 +33,9 @@
 	return certificate, key, pool
 }
 
-// TestProtocolsTowardsCallers speaks HTTP/1.1 and HTTP/2, with and without TLS, and goes beyond the limits.
-func TestProtocolsTowardsCallers(t *testing.T) {
+// TestCallerProtocols checks that callers can use HTTP/1.1 and HTTP/2, with and without TLS, and that a header above the
+// limit is refused.
+func TestCallerProtocols(t *testing.T) {
 	is := is.New(t)
 	certificate, key, pool := writeCertificate(is, t.TempDir())
 	for _, encrypted := range []bool{false, true} {
@@ -49,7 +50,7 @@
 		h, closeHost, err := New(Config{Settings: s, Logger: zerolog.Nop()})
 		is.NoErr(err)
 		done := make(chan error, 1)
-		go func() { done <- h.serveFront() }()
+		go func() { done <- h.serveCallers() }()
 		for _, version := range []int{1, 2} {
 			protocols := &http.Protocols{}
 			protocols.SetHTTP1(version == 1)
@@ -66,14 +67,14 @@
 		if !encrypted {
 			checkLimits(is, h)
 		}
-		is.NoErr(h.front.Close())
+		is.NoErr(h.callerServer.Close())
 		<-done
-		is.NoErr(h.inner.Close())
+		is.NoErr(h.peerListener.Close())
 		closeHost()
 	}
 }
 
-// checkLimits sends a header and asks for a body beyond the limits.
+// checkLimits checks that a request with a header above the limit is refused.
 func checkLimits(is *is.I, h *Host) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+h.Listen()+"/Health", nil)
 	is.NoErr(err)
@@ -84,35 +85,35 @@
 	is.NoErr(response.Body.Close())
 }
 
-// TestSilentStreamIsReplaced silences the connections over which a keyed request is being passed on:
-// the answer must come over a new one, from the same run.
+// TestSilentStreamIsReplaced silences the connection on which a keyed request is being forwarded to a peer: the response
+// must arrive over a new connection, and the request must not run again.
 func TestSilentStreamIsReplaced(t *testing.T) {
 	slow := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-		b.ran(r)
+		b.recordRun(r)
 		time.Sleep(1500 * time.Millisecond)
 		_, _ = w.Write([]byte("slow"))
 	}
-	inService(t, 2, 1, slow, func(f *fleet, backends []*fakeBackend) {
-		grant := f.nodes["entry-1"].host.claims.Grant(f.nodes["entry-1"].host.now()).String()
+	withFleetServing(t, 2, 1, slow, func(f *fleet, backends []*fakeBackend) {
+		grant := f.nodes["entry-1"].host.idempotency.Grant(f.nodes["entry-1"].host.now()).String()
 		time.AfterFunc(300*time.Millisecond, func() { f.net.Silence("entry-1", "entry-2") })
 		began := time.Now()
 		response, body, err := f.send(f.nodes["entry-2"], http.MethodPost, "/sign", "", map[string]string{"Idempotency-Key": grant + ".k"})
 		f.is.NoErr(err)
 		f.is.Equal(response.StatusCode, http.StatusOK)
 		f.is.Equal(body, "slow")
-		f.is.Equal(backends[0].count(), 1)
-		f.is.True(time.Since(began) < 1600*time.Millisecond) // replaced while the request ran
+		f.is.Equal(backends[0].totalRuns(), 1)
+		f.is.True(time.Since(began) < 1600*time.Millisecond) // the connection was replaced while the request ran
 	})
 }
 
-// TestBodyLimit sends a keyed body beyond the limit: it must be refused as not run.
+// TestBodyLimit checks that bodies above the limits for keyed and for all requests are refused without a run.
 func TestBodyLimit(t *testing.T) {
-	inFleet(t, func(f *fleet) {
-		f.limits = func(s *settings.Settings) { s.Limits.KeyedBodyBytes, s.Limits.BodyBytes = 100, 1000 }
+	withFleet(t, func(f *fleet) {
+		f.adjustSettings = func(s *settings.Settings) { s.Limits.KeyedBodyBytes, s.Limits.BodyBytes = 100, 1000 }
 		f.start("entry-1", "a")
-		backends, text := f.backends(1, work)
+		backends, text := f.backends(1, echo)
 		f.publish(text)
-		f.await(1, 5*time.Second)
+		f.awaitNote(1, 5*time.Second)
 		cases := []struct {
 			size   int
 			key    string
@@ -127,6 +128,6 @@
 			f.is.NoErr(err)
 			f.is.Equal(response.StatusCode, c.status)
 		}
-		f.is.Equal(backends[0].count(), 2)
+		f.is.Equal(backends[0].totalRuns(), 2)
 	})
 }
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -12,19 +12,20 @@
 	"briarcroft/internal/steering"
 )
 
-// write sends a result to the caller; an answer that was cut breaks the caller's connection.
-func (f *front) write(w http.ResponseWriter, result steering.Result) {
+// writeResult sends a result to the caller. If a response breaks off before its end, it aborts the caller's connection,
+// so that the caller does not take the response for complete.
+func (f *frontend) writeResult(w http.ResponseWriter, result steering.Result) {
 	switch result := result.(type) {
 	case *steering.Refusal:
-		f.refuse(w, result)
+		f.writeRefusal(w, result)
 	case *steering.Answer:
-		f.writeAnswer(w, result)
+		f.writeResponse(w, result)
 	}
 }
 
-func (f *front) writeAnswer(w http.ResponseWriter, a *steering.Answer) {
+func (f *frontend) writeResponse(w http.ResponseWriter, a *steering.Answer) {
 	defer a.Body.Close()
-	dropHops(a.Header)
+	removeHopByHopHeaders(a.Header)
 	for name, values := range a.Header {
 		if name != "Content-Length" {
 			w.Header()[name] = values
@@ -39,29 +40,30 @@
 	}
 	w.WriteHeader(a.Status)
 	if a.Whole {
-		// The caller went away if this fails.
+		// An error means that the caller has disconnected.
 		_, _ = w.Write(a.Text)
 		return
 	}
-	if err := relay(w, a.Body, a.Length < 0); err != nil {
-		f.host.stats.cut.Add(1)
+	if err := copyBody(w, a.Body, a.Length < 0); err != nil {
+		f.host.stats.truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// copyBuffers holds the buffers of streams.
-var copyBuffers = ring.NewBuffers(copyBytes)
+// copyBuffers is a pool of the buffers that copyBody uses.
+var copyBuffers = ring.NewBuffers(copyBufferBytes)
 
-// relay copies a body with back-pressure; each write has a deadline, so that a slow caller holds the host only so long.
-func relay(w http.ResponseWriter, body io.Reader, flush bool) error {
+// copyBody copies a response body to the caller, reading only as fast as the caller takes it. Each write has the deadline
+// stallTimeout, so that a caller that stops reading does not tie up the connection to the target.
+func copyBody(w http.ResponseWriter, body io.Reader, flush bool) error {
 	control := http.NewResponseController(w)
-	held := copyBuffers.Take()
-	defer copyBuffers.Put(held)
-	buffer := *held
+	pooled := copyBuffers.Take()
+	defer copyBuffers.Put(pooled)
+	buffer := *pooled
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			// A writer without deadlines is a peer's or a test's, which cannot stall.
+			// Writers that do not support deadlines are those of tests and of requests from peers; they never block.
 			_ = control.SetWriteDeadline(time.Now().Add(stallTimeout))
 			if _, writeErr := w.Write(buffer[:n]); writeErr != nil {
 				return writeErr
@@ -80,14 +82,14 @@
 	}
 }
 
-// refuse answers a caller in the host's own name.
-func (f *front) refuse(w http.ResponseWriter, r *steering.Refusal) {
+// writeRefusal counts a refusal and sends it to the caller.
+func (f *frontend) writeRefusal(w http.ResponseWriter, r *steering.Refusal) {
 	f.host.stats.refused.Add(1)
-	refuse(w, r)
+	writeRefusal(w, r)
 }
 
-// refuse answers in the host's own name.
-func refuse(w http.ResponseWriter, r *steering.Refusal) {
+// writeRefusal writes a refusal as a JSON response with its outcome, reason and retry delay in the header.
+func writeRefusal(w http.ResponseWriter, r *steering.Refusal) {
 	w.Header().Set(steering.HeaderOutcome, string(r.Outcome))
 	if r.Reason != "" && w.Header().Get(steering.HeaderReason) == "" {
 		w.Header().Set(steering.HeaderReason, r.Reason)
