--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,16 +18,16 @@
 
 // outcomeNames are the outcomes of runs as logs show them.
 var outcomeNames = map[placement.Outcome]string{
-	placement.Answered: "Answered", placement.Failed: "TargetFailed", placement.NotRun: "TargetRefused",
-	placement.Unreachable: "TargetUnreachable", placement.Broken: "ConnectionBroke", placement.Silent: "TimedOut",
-	placement.Abandoned: "Abandoned", placement.Misplaced: "OtherTargetAtAddress",
+	placement.OutcomeAnswered: "Answered", placement.OutcomeFailed: "TargetFailed", placement.OutcomeNotRun: "TargetRefused",
+	placement.OutcomeUnreachable: "TargetUnreachable", placement.OutcomeConnectionBroke: "ConnectionBroke", placement.OutcomeTimedOut: "TimedOut",
+	placement.OutcomeCanceled: "Abandoned", placement.OutcomeOtherServer: "OtherTargetAtAddress",
 }
 
 // result is how a run on a target ended.
 type result struct {
 	outcome placement.Outcome
 	answer  *answer
-	load    *placement.Load
+	load    *placement.LoadReport
 	took    time.Duration
 	// run numbers the runs of one try.
 	run int
@@ -36,7 +36,7 @@
 // notRun reports whether the target certainly did not run the request.
 func (r *result) notRun() bool {
 	switch r.outcome {
-	case placement.NotRun, placement.Unreachable, placement.Misplaced:
+	case placement.OutcomeNotRun, placement.OutcomeUnreachable, placement.OutcomeOtherServer:
 		return true
 	}
 	return false
@@ -50,7 +50,7 @@
 		r.took = x.gateway.now() - started
 	}
 	x.gateway.stats.attempts.Add(1)
-	done := placement.Done{Target: p.Target, Outcome: r.outcome, Took: r.took, Load: r.load}
+	done := placement.RunEnd{Target: p.Target, Outcome: r.outcome, Duration: r.took, Load: r.load}
 	if r.answer != nil {
 		done.Bytes = len(r.answer.body)
 	}
@@ -68,9 +68,9 @@
 	}
 	r := &result{load: g.load(response.Header), took: g.now() - started}
 	if response.Header.Get(g.dialect.NotRunHeader) != "" || response.StatusCode == http.StatusMisdirectedRequest {
-		r.outcome = placement.NotRun
+		r.outcome = placement.OutcomeNotRun
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			r.outcome = placement.Misplaced
+			r.outcome = placement.OutcomeOtherServer
 		}
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth))
 		_ = response.Body.Close()
@@ -84,17 +84,17 @@
 	ended := ctx.Err()
 	switch {
 	case errorx.IsOfType(err, backend.ErrNotSent) && ended == nil:
-		return placement.Unreachable
+		return placement.OutcomeUnreachable
 	case errorx.IsOfType(err, backend.ErrFull):
-		return placement.NotRun
+		return placement.OutcomeNotRun
 	case errorx.IsOfType(err, backend.ErrNotSent):
-		return placement.NotRun
+		return placement.OutcomeNotRun
 	case errors.Is(ended, context.DeadlineExceeded):
-		return placement.Silent
+		return placement.OutcomeTimedOut
 	case ended != nil:
-		return placement.Abandoned
+		return placement.OutcomeCanceled
 	}
-	return placement.Broken
+	return placement.OutcomeConnectionBroke
 }
 
 // outgoing builds the request that the target gets.
@@ -133,7 +133,7 @@
 	sealed := response.Header.Get(x.gateway.dialect.SealHeader) != ""
 	if !sealed && (response.StatusCode < http.StatusMultipleChoices || promisesNotRun(response.StatusCode)) {
 		_ = response.Body.Close()
-		r.outcome = placement.Broken
+		r.outcome = placement.OutcomeConnectionBroke
 		return r
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, wholeBytes))
@@ -153,9 +153,9 @@
 		a.length = max(0, response.ContentLength)
 	}
 	r.answer = a
-	r.outcome = placement.Answered
+	r.outcome = placement.OutcomeAnswered
 	if response.StatusCode >= http.StatusInternalServerError {
-		r.outcome = placement.Failed
+		r.outcome = placement.OutcomeFailed
 	}
 	return r
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -117,14 +117,14 @@
 // settle returns the answer after a run, or nil to try another target.
 func (x *exchange) settle(ctx context.Context, r *result) *answer {
 	switch r.outcome {
-	case placement.Answered:
+	case placement.OutcomeAnswered:
 		return r.answer
-	case placement.NotRun, placement.Unreachable, placement.Misplaced:
+	case placement.OutcomeNotRun, placement.OutcomeUnreachable, placement.OutcomeOtherServer:
 		if x.mayTryAgain(ctx) {
 			return nil
 		}
 		return x.giveUp(placement.Refused{Reason: placement.ReasonNoTargets, RetryAfter: refusedReturn})
-	case placement.Failed:
+	case placement.OutcomeFailed:
 		x.failure = r.answer
 	}
 	x.mayHaveRun = true
@@ -175,7 +175,7 @@
 	if x.mayHaveRun || x.failure != nil {
 		return x.afterRun(ctx)
 	}
-	return refused(placement.Refused{Reason: placement.ReasonTooLate, RetryAfter: refusedReturn})
+	return refused(placement.Refused{Reason: placement.ReasonDeadlineCannotBeMet, RetryAfter: refusedReturn})
 }
 
 // place asks the service's homes for a place; both results are nil when the time ended first.
@@ -245,7 +245,7 @@
 // decline gives back a place that comes too late.
 func (x *exchange) decline(e event) {
 	if target, held := placeOf(e.verdict); held {
-		e.from.end(x.inquiry, placement.Done{Target: target, Outcome: placement.Abandoned})
+		e.from.end(x.inquiry, placement.RunEnd{Target: target, Outcome: placement.OutcomeCanceled})
 	}
 }
 
@@ -259,7 +259,7 @@
 		case r := <-runs.results:
 			runs.under--
 			worst = better(r, worst)
-			if r.outcome == placement.Answered || runs.under == 0 {
+			if r.outcome == placement.OutcomeAnswered || runs.under == 0 {
 				runs.endOthers(worst)
 				return worst
 			}
@@ -320,10 +320,10 @@
 
 // better returns the result to go by when two runs have ended: the one that says most.
 func better(a, b *result) *result {
-	if b == nil || a.outcome == placement.Answered || a.outcome == placement.Failed {
+	if b == nil || a.outcome == placement.OutcomeAnswered || a.outcome == placement.OutcomeFailed {
 		return a
 	}
-	if b.outcome == placement.Failed || !b.notRun() {
+	if b.outcome == placement.OutcomeFailed || !b.notRun() {
 		return b
 	}
 	return a
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 	InstanceHeader string
 	LoadHeader     string
 	// ParseLoad reads LoadHeader.
-	ParseLoad func(string) (placement.Load, bool)
+	ParseLoad func(string) (placement.LoadReport, bool)
 	// Decode reads entries of the store.
 	Decode roster.DecodeFunc
 	// NeighbourKey is the store key under which a host leaves its inner address.
@@ -156,7 +156,7 @@
 	g.pools = newPools(g)
 	g.links = newLinks(g)
 	g.followers.byNumber = map[uint64]*ring.Ring[news]{}
-	g.roster = roster.New(roster.Config{Decode: c.Dialect.Decode, OnRefused: g.refusedEntry, OnChange: g.adopt})
+	g.roster = roster.New(roster.Config{Decode: c.Dialect.Decode, OnRejectedEntry: g.refusedEntry, OnChange: g.adopt})
 	return g, func() {
 		endAll()
 		g.links.close()
@@ -227,7 +227,7 @@
 	for service, list := range v.Targets {
 		for _, t := range list {
 			state := route.Live.String()
-			if t.Leaving {
+			if t.Draining {
 				state = route.Draining.String()
 			}
 			now[t.Name] = state
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -91,7 +91,7 @@
 	o.mu.Unlock()
 	for _, h := range o.all() {
 		h.mu.Lock()
-		h.home.Leave(o.gateway.now(), d.number)
+		h.home.EndStream(o.gateway.now(), d.number)
 		h.mu.Unlock()
 	}
 }
@@ -114,7 +114,7 @@
 	if h == nil {
 		h = &home{homes: o, service: service}
 		h.home = placement.New(placement.Config{
-			Random: rand.New(rand.NewPCG(o.gateway.incarnation, uint64(len(o.byName)))), Budget: o.budget(), Notify: o.notify,
+			Random: rand.New(rand.NewPCG(o.gateway.incarnation, uint64(len(o.byName)))), Budget: o.budget(), OnVerdict: o.notify,
 			OnEjection: func(e placement.Ejection) { o.explainEjection(service, e) },
 		})
 		o.byName[service] = h
@@ -128,16 +128,16 @@
 	g := o.gateway
 	r := record.Record{Kind: record.TargetMoved, Service: service, Target: e.Target, From: route.Live.String(), To: route.Ejected.String(), Cause: string(route.CauseFailures), Note: g.chain.Number()}
 	r.Evidence.Failures = e.Failures
-	if !e.Out {
+	if !e.Ejected {
 		r.From, r.To, r.Cause = r.To, r.From, string(route.CauseReturn)
 	}
 	g.book.Add(r)
 }
 
 // budget returns the part of the retry budget that this host may decide on.
-func (o *homes) budget() placement.Budget {
+func (o *homes) budget() placement.RetryBudget {
 	s := o.gateway.tunable.Load().Retries
-	return placement.Budget{Ratio: ratioShare * s.Ratio, Window: s.Window}
+	return placement.RetryBudget{Ratio: ratioShare * s.Ratio, Window: s.Window}
 }
 
 // slack returns how many repeats beyond the ratio this host may decide on: many as the service's primary home, few otherwise.
@@ -179,7 +179,7 @@
 	defer h.mu.Unlock()
 	h.home.SetPrimary(primary)
 	h.home.SetRetrySlack(o.slack(primary, len(ranked)))
-	h.home.Ask(o.gateway.now(), r)
+	h.home.Submit(o.gateway.now(), r)
 	h.sendProbes()
 	// The timers must run while requests wait.
 	o.woken.Push(struct{}{})
@@ -187,40 +187,40 @@
 
 // sendProbes begins the probes that are due; the caller holds the lock.
 func (h *home) sendProbes() {
-	for _, p := range h.home.Probes(h.homes.gateway.now()) {
+	for _, p := range h.home.DueProbes(h.homes.gateway.now()) {
 		go h.probe(h.homes.gateway.background, p)
 	}
 }
 
 // done takes in the end of a run.
-func (o *homes) done(service string, d placement.Done) {
+func (o *homes) done(service string, d placement.RunEnd) {
 	h := o.get(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.home.Done(o.gateway.now(), d)
+	h.home.RunEnded(o.gateway.now(), d)
 }
 
 // abandon ends a run of whichever service has it.
-func (o *homes) abandon(d placement.Done) {
+func (o *homes) abandon(d placement.RunEnd) {
 	for _, h := range o.all() {
 		h.mu.Lock()
-		h.home.Done(o.gateway.now(), d)
+		h.home.RunEnded(o.gateway.now(), d)
 		h.mu.Unlock()
 	}
 }
 
 // withdraw takes a request out of the queue.
-func (o *homes) withdraw(service string, id placement.ID) {
+func (o *homes) withdraw(service string, id placement.RequestID) {
 	h := o.get(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.home.Withdraw(id)
+	h.home.CancelQueued(id)
 }
 
 // notify hands a verdict to the host that asked; it runs under the lock of the decision.
 func (o *homes) notify(r *placement.Request, v placement.Verdict) {
 	o.mu.Lock()
-	d := o.sessions[r.ID.Host]
+	d := o.sessions[r.ID.Stream]
 	o.mu.Unlock()
 	if d == nil {
 		return
@@ -269,7 +269,7 @@
 	waiting := map[uint64]bool{}
 	for _, h := range o.all() {
 		h.mu.Lock()
-		h.home.WaitingHosts(waiting)
+		h.home.AddQueuedStreams(waiting)
 		h.mu.Unlock()
 	}
 	o.mu.Lock()
@@ -286,7 +286,7 @@
 	counts := map[string]int{}
 	for _, h := range o.all() {
 		h.mu.Lock()
-		counts[h.service] = h.home.Queued()
+		counts[h.service] = h.home.QueueLength()
 		h.mu.Unlock()
 	}
 	return counts
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -47,7 +47,7 @@
 	// name is the host that decides.
 	name() string
 	ask(e *inquiry, r *placement.Request)
-	end(e *inquiry, d placement.Done)
+	end(e *inquiry, d placement.RunEnd)
 	withdraw(e *inquiry)
 	// decided notes that an ask has its verdict; withdraw does so for one without.
 	decided()
@@ -227,7 +227,7 @@
 	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, Ask: inner.ToAsk(k.links.gateway.now(), r)})
 }
 
-func (k *remoteHome) end(e *inquiry, d placement.Done) {
+func (k *remoteHome) end(e *inquiry, d placement.RunEnd) {
 	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, End: inner.ToEnd(d)})
 }
 
@@ -299,7 +299,7 @@
 			continue
 		}
 		if target, held := placeOf(v); held {
-			k.push(&inner.PlaceCall{Number: wire.Number, End: inner.ToEnd(placement.Done{Target: target, Outcome: placement.Abandoned})})
+			k.push(&inner.PlaceCall{Number: wire.Number, End: inner.ToEnd(placement.RunEnd{Target: target, Outcome: placement.OutcomeCanceled})})
 		}
 	}
 }
@@ -323,8 +323,8 @@
 
 func (o *localHome) name() string { return o.links.gateway.settings.Host.Name }
 
-func (o *localHome) id(number uint64) placement.ID {
-	return placement.ID{Host: o.session.number, Number: number}
+func (o *localHome) id(number uint64) placement.RequestID {
+	return placement.RequestID{Stream: o.session.number, Number: number}
 }
 
 func (o *localHome) ask(e *inquiry, r *placement.Request) {
@@ -332,7 +332,7 @@
 	o.links.gateway.homes.ask(e.service, r)
 }
 
-func (o *localHome) end(e *inquiry, d placement.Done) {
+func (o *localHome) end(e *inquiry, d placement.RunEnd) {
 	d.ID = o.id(e.number)
 	o.links.gateway.homes.done(e.service, d)
 }
@@ -355,6 +355,6 @@
 	}
 	o.links.ends.Go(func() {
 		// The service is not known here any more; the home finds the run by its number.
-		o.links.gateway.homes.abandon(placement.Done{ID: o.id(number), Target: target, Outcome: placement.Abandoned})
+		o.links.gateway.homes.abandon(placement.RunEnd{ID: o.id(number), Target: target, Outcome: placement.OutcomeCanceled})
 	})
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		id := placement.ID{Host: d.number, Number: call.Number}
+		id := placement.RequestID{Stream: d.number, Number: call.Number}
 		switch {
 		case call.Ask != nil:
 			homes.ask(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
@@ -133,7 +133,7 @@
 	g := p.gateway
 	number, changes := g.followers.add()
 	defer g.followers.remove(number)
-	everything, revision := g.roster.Changes()
+	everything, revision := g.roster.AllChanges()
 	if err := stream.Send(toFollowReply(news{changes: everything, revision: revision})); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 	if len(g.table.Peers()) > 0 {
 		return recipients
 	}
-	for _, address := range g.roster.View().Neighbours {
+	for _, address := range g.roster.View().PeerAddresses {
 		if address != g.settings.Host.PeerAddress() {
 			recipients = append(recipients, address)
 		}
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -25,37 +25,37 @@
 	g.stats.probes.Add(1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.home.Probed(g.now(), p.Target, health, load)
+	h.home.RecordProbe(g.now(), p.Target, health, load)
 	h.sendProbes()
 }
 
-func (g *Gateway) askHealth(ctx context.Context, p placement.Placed, path string) (placement.Health, *placement.Load) {
+func (g *Gateway) askHealth(ctx context.Context, p placement.Placed, path string) (placement.ProbeResult, *placement.LoadReport) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
-		return placement.Gone, nil
+		return placement.ProbeNoAnswer, nil
 	}
 	response, err := g.pools.get(p.Target, p.Address).Do(r, backend.Try{})
 	if err != nil {
-		return placement.Gone, nil
+		return placement.ProbeNoAnswer, nil
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth)); err != nil {
-		return placement.Gone, nil
+		return placement.ProbeNoAnswer, nil
 	}
 	if name := response.Header.Get(g.dialect.InstanceHeader); name != "" && name != p.Target {
-		return placement.Replaced, nil
+		return placement.ProbeOtherServer, nil
 	}
 	load := g.load(response.Header)
 	switch {
 	case response.StatusCode == http.StatusOK, response.Header.Get(g.dialect.NotRunHeader) != "":
-		return placement.Healthy, load
+		return placement.ProbeHealthy, load
 	default:
-		return placement.Ill, load
+		return placement.ProbeUnhealthy, load
 	}
 }
 
 // load reads a target's own word on its load, or nil.
-func (g *Gateway) load(header http.Header) *placement.Load {
+func (g *Gateway) load(header http.Header) *placement.LoadReport {
 	text := header.Get(g.dialect.LoadHeader)
 	if text == "" {
 		return nil
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -154,7 +154,7 @@
 		return 0, err
 	}
 	g.returned()
-	g.tell(g.roster.Replace(g.now(), entries, revision), revision, false)
+	g.tell(g.roster.ApplySnapshot(g.now(), entries, revision), revision, false)
 	return revision, nil
 }
 
@@ -177,7 +177,7 @@
 // register leaves the own address in the store, for hosts that know no peer.
 func (g *Gateway) register(ctx context.Context) error {
 	key := g.dialect.NeighbourKey(g.settings.Host.Name)
-	if g.roster.View().Neighbours[key] == g.settings.Host.PeerAddress() {
+	if g.roster.View().PeerAddresses[key] == g.settings.Host.PeerAddress() {
 		return nil
 	}
 	g.stats.storeCalls.Add(1)
--- a/internal/inner/verdict.go
+++ b/internal/inner/verdict.go
@@ -64,7 +64,7 @@
 }
 
 // FromAsk decodes a request for a place that came now.
-func FromAsk(now time.Duration, id placement.ID, wire *PlaceAsk) *placement.Request {
+func FromAsk(now time.Duration, id placement.RequestID, wire *PlaceAsk) *placement.Request {
 	return &placement.Request{
 		ID: id, Class: wire.Class, Priority: int(wire.Priority), Goal: now + microseconds(wire.GoalMicroseconds),
 		Deadline: now + microseconds(wire.DeadlineMicroseconds), Repeatable: wire.Repeatable, Tried: wire.Tried,
@@ -73,8 +73,8 @@
 }
 
 // ToEnd encodes the end of a run.
-func ToEnd(d placement.Done) *RunEnd {
-	wire := &RunEnd{Target: d.Target, Outcome: uint32(d.Outcome), TookMicroseconds: d.Took.Microseconds(), Bytes: uint32(d.Bytes)}
+func ToEnd(d placement.RunEnd) *RunEnd {
+	wire := &RunEnd{Target: d.Target, Outcome: uint32(d.Outcome), TookMicroseconds: d.Duration.Microseconds(), Bytes: uint32(d.Bytes)}
 	if l := d.Load; l != nil {
 		wire.Load = &TargetLoad{Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots), Pace: l.Pace}
 	}
@@ -82,10 +82,10 @@
 }
 
 // FromEnd decodes the end of a run.
-func FromEnd(id placement.ID, wire *RunEnd) placement.Done {
-	d := placement.Done{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Took: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
+func FromEnd(id placement.RequestID, wire *RunEnd) placement.RunEnd {
+	d := placement.RunEnd{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Duration: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
 	if l := wire.Load; l != nil {
-		d.Load = &placement.Load{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
+		d.Load = &placement.LoadReport{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
 	}
 	return d
 }
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -213,11 +213,11 @@
 
 func newHomePlayer(s *simulation, p Home) *homePlayer {
 	h := &homePlayer{sim: s, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
-	budget := placement.Budget{Ratio: modelRatio, Slack: modelSlack, Window: modelWindow}
+	budget := placement.RetryBudget{Ratio: modelRatio, Slack: modelSlack, Window: modelWindow}
 	if !p.Hedges {
-		budget = placement.Budget{Window: modelWindow}
+		budget = placement.RetryBudget{Window: modelWindow}
 	}
-	h.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(s.load.Seed, 9)), Budget: budget, Notify: h.notify})
+	h.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(s.load.Seed, 9)), Budget: budget, OnVerdict: h.notify})
 	h.home.SetPrimary(true)
 	var targets []placement.Target
 	for _, t := range s.servers {
@@ -237,13 +237,13 @@
 
 // probe sends the probes that are due.
 func (h *homePlayer) probe() {
-	for _, p := range h.home.Probes(h.sim.now) {
+	for _, p := range h.home.DueProbes(h.sim.now) {
 		server := h.server(p.Target)
 		h.sim.probes++
 		h.sim.after(h.sim.load.Travel, func() {
 			load := server.report()
 			h.sim.after(h.sim.load.Travel, func() {
-				h.home.Probed(h.sim.now, server.name, placement.Healthy, &load)
+				h.home.RecordProbe(h.sim.now, server.name, placement.ProbeHealthy, &load)
 				h.probe()
 			})
 		})
@@ -265,8 +265,8 @@
 }
 
 func (h *homePlayer) ask(j *job, tried []string) {
-	h.home.Ask(h.sim.now, &placement.Request{
-		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: h.sim.load.Repeatable, Tried: tried,
+	h.home.Submit(h.sim.now, &placement.Request{
+		ID: placement.RequestID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: h.sim.load.Repeatable, Tried: tried,
 	})
 	h.probe()
 }
@@ -289,7 +289,7 @@
 func (h *homePlayer) send(j *job, name string) {
 	server := h.server(name)
 	if j.ended {
-		h.tell(j, name, placement.Abandoned, 0, nil)
+		h.tell(j, name, placement.OutcomeCanceled, 0, nil)
 		return
 	}
 	sent := h.sim.now
@@ -299,7 +299,7 @@
 		h.sim.after(h.sim.load.Travel, func() {
 			first := !j.ended
 			h.sim.answered(j)
-			h.tell(j, name, placement.Answered, h.sim.now-sent, &load)
+			h.tell(j, name, placement.OutcomeAnswered, h.sim.now-sent, &load)
 			if first {
 				h.cancelOthers(j, r)
 			}
@@ -307,7 +307,7 @@
 	}
 	if !server.accept(r) {
 		load := server.report()
-		h.tell(j, name, placement.NotRun, 0, &load)
+		h.tell(j, name, placement.OutcomeNotRun, 0, &load)
 		h.sim.refused(j)
 		return
 	}
@@ -315,9 +315,9 @@
 }
 
 // tell reports the end of a run to the home.
-func (h *homePlayer) tell(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.Load) {
+func (h *homePlayer) tell(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.LoadReport) {
 	h.sim.after(h.sim.load.Travel, func() {
-		h.home.Done(h.sim.now, placement.Done{ID: placement.ID{Number: j.id}, Target: name, Outcome: outcome, Took: took, Load: load})
+		h.home.RunEnded(h.sim.now, placement.RunEnd{ID: placement.RequestID{Number: j.id}, Target: name, Outcome: outcome, Duration: took, Load: load})
 		h.probe()
 	})
 }
@@ -329,7 +329,7 @@
 			continue
 		}
 		h.sim.after(h.sim.load.Travel, func() { r.server.cancel(r) })
-		h.tell(j, r.server.name, placement.Abandoned, 0, nil)
+		h.tell(j, r.server.name, placement.OutcomeCanceled, 0, nil)
 	}
 	delete(h.runs, j.id)
 }
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -103,8 +103,8 @@
 }
 
 // report is what the server says of its load.
-func (s *server) report() placement.Load {
-	return placement.Load{Running: len(s.running), Waiting: len(s.waiting), Slots: s.sim.load.Slots, Pace: s.pace}
+func (s *server) report() placement.LoadReport {
+	return placement.LoadReport{Running: len(s.running), Waiting: len(s.waiting), Slots: s.sim.load.Slots, Pace: s.pace}
 }
 
 // drift draws a new pace again and again.
--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Budget bounds the arrivals of a service beyond the first of each request in any sliding window.
+// RetryBudget bounds the arrivals of a service beyond the first of each request in any sliding window.
 // It answers retry storms: a service that fails or sheds must not get more requests for it.
-type Budget struct {
+type RetryBudget struct {
 	// Ratio is the most repeats per request, and Slack how many more are allowed in a window.
 	Ratio  float64
 	Slack  float64
@@ -22,7 +22,7 @@
 	repeats int
 }
 
-func (b *Budget) slot(now time.Duration) *budgetSlot {
+func (b *RetryBudget) slot(now time.Duration) *budgetSlot {
 	number := int64(now / (b.Window / budgetSlots))
 	s := &b.slots[number%int64(len(b.slots))]
 	if s.number != number {
@@ -31,13 +31,13 @@
 	return s
 }
 
-// Arrived counts a new request of a caller.
-func (b *Budget) Arrived(now time.Duration) { b.slot(now).first++ }
+// AddRequest counts a new request of a caller.
+func (b *RetryBudget) AddRequest(now time.Duration) { b.slot(now).first++ }
 
 // sums returns the repeats of the window that ends now, and the requests of its second half. A window that ends later
 // holds the same repeats and fewer of the requests before them; those of the last half are in it, or in the one half a
 // window before, as long as the repeats count.
-func (b *Budget) sums(now time.Duration) (first, repeats int) {
+func (b *RetryBudget) sums(now time.Duration) (first, repeats int) {
 	current := b.slot(now).number
 	for _, s := range b.slots {
 		if s.number > current-budgetSlots/2 {
@@ -50,15 +50,15 @@
 	return first, repeats
 }
 
-// Left returns how many repeats the budget still allows.
-func (b *Budget) Left(now time.Duration) float64 {
+// Remaining returns how many repeats the budget still allows.
+func (b *RetryBudget) Remaining(now time.Duration) float64 {
 	first, repeats := b.sums(now)
 	return b.Ratio*float64(first) + b.Slack - float64(repeats)
 }
 
-// Take spends one repeat and reports whether there was one to spend, beyond a reserve.
-func (b *Budget) Take(now time.Duration, reserve float64) bool {
-	if b.Left(now) < 1+reserve {
+// Spend spends one repeat and reports whether there was one to spend, beyond a reserve.
+func (b *RetryBudget) Spend(now time.Duration, reserve float64) bool {
+	if b.Remaining(now) < 1+reserve {
 		return false
 	}
 	b.slot(now).repeats++
--- a/internal/placement/end.go
+++ b/internal/placement/end.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Done is the end of one run.
-type Done struct {
-	ID      ID
+// RunEnd is the end of one run.
+type RunEnd struct {
+	ID      RequestID
 	Target  string
 	Outcome Outcome
-	// Took is the time from the request's sending to its answer.
-	Took time.Duration
+	// Duration is the time from the request's sending to its answer.
+	Duration time.Duration
 	// Bytes is the size of the answer.
 	Bytes int
 	// Load is the report that came with the answer, or nil.
-	Load *Load
+	Load *LoadReport
 }
 
-// Done takes in the end of a run and places requests that wait.
-func (h *Home) Done(now time.Duration, d Done) {
+// RunEnded takes in the end of a run and places requests that wait.
+func (h *Home) RunEnded(now time.Duration, d RunEnd) {
 	r := h.requests[d.ID]
 	t := h.byName[d.Target]
-	if t != nil && d.Load != nil && d.Outcome != Misplaced {
+	if t != nil && d.Load != nil && d.Outcome != OutcomeOtherServer {
 		load := *d.Load
-		if d.Outcome != NotRun {
+		if d.Outcome != OutcomeNotRun {
 			// The report on an answer still counts the run that it answers.
 			load.Running = max(0, load.Running-1)
 		}
@@ -47,29 +47,29 @@
 }
 
 // learn takes in what the end of a run says of its target and its service.
-func (h *Home) learn(now time.Duration, r *Request, ended *hold, d Done) {
+func (h *Home) learn(now time.Duration, r *Request, ended *hold, d RunEnd) {
 	t := ended.target
 	switch d.Outcome {
-	case Answered:
+	case OutcomeAnswered:
 		t.succeeded(now)
 		h.crash.answered(r.Fingerprint)
-		h.learnTime(r, ended, d.Took)
+		h.learnTime(r, ended, d.Duration)
 		h.bytes[r.Class] += (float64(d.Bytes) - h.bytes[r.Class]) * bytesGain
-	case Failed, Silent:
+	case OutcomeFailed, OutcomeTimedOut:
 		t.failed(now, h.mayEject(now))
-	case Broken:
+	case OutcomeConnectionBroke:
 		t.failed(now, h.mayEject(now))
 		h.crash.broke(now, r.Fingerprint, t.Name)
-	case NotRun:
+	case OutcomeNotRun:
 		// The target holds more than is known here.
 		t.seen, t.seenAt = max(t.Slots, t.seen), now
 		t.failures = max(t.failures, failureGain)
-	case Unreachable:
+	case OutcomeUnreachable:
 		t.failed(now, h.mayEject(now))
 		t.probe.down = true
-	case Misplaced:
+	case OutcomeOtherServer:
 		t.misplaced = true
-	case Abandoned:
+	case OutcomeCanceled:
 	}
 }
 
@@ -90,7 +90,7 @@
 }
 
 // reported takes in a target's own word.
-func (h *Home) reported(now time.Duration, t *target, l Load) {
+func (h *Home) reported(now time.Duration, t *target, l LoadReport) {
 	t.report(now, l)
 	if l.Pace > 0 {
 		h.pace += (min(mostFactor, max(leastFactor, l.Pace)) - h.pace) * paceGain
@@ -108,8 +108,8 @@
 	return 2*(sound-1) >= len(h.targets)
 }
 
-// Withdraw takes a waiting request out of the queue; runs go on until Done.
-func (h *Home) Withdraw(id ID) {
+// CancelQueued takes a waiting request out of the queue; runs go on until Done.
+func (h *Home) CancelQueued(id RequestID) {
 	r := h.requests[id]
 	if r == nil {
 		return
@@ -133,10 +133,10 @@
 	}
 }
 
-// Leave forgets everything of a host whose conversation has ended.
-func (h *Home) Leave(now time.Duration, host uint64) {
+// EndStream forgets everything of a host whose conversation has ended.
+func (h *Home) EndStream(now time.Duration, host uint64) {
 	for id, r := range h.requests {
-		if id.Host != host {
+		if id.Stream != host {
 			continue
 		}
 		h.unqueue(r)
@@ -182,12 +182,12 @@
 	}
 }
 
-// WaitingHosts adds the hosts whose requests wait to a set.
-func (h *Home) WaitingHosts(set map[uint64]bool) {
+// AddQueuedStreams adds the hosts whose requests wait to a set.
+func (h *Home) AddQueuedStreams(set map[uint64]bool) {
 	for _, r := range h.queue {
-		set[r.ID.Host] = true
+		set[r.ID.Stream] = true
 	}
 }
 
-// Queued returns the number of waiting requests.
-func (h *Home) Queued() int { return len(h.queue) }
+// QueueLength returns the number of waiting requests.
+func (h *Home) QueueLength() int { return len(h.queue) }
--- a/internal/placement/hedge.go
+++ b/internal/placement/hedge.go
@@ -48,12 +48,12 @@
 	if !lastChance && (age < hedgeRatio || !inTime && h.late(now, r) == 0) {
 		return
 	}
-	if !h.config.Budget.Take(now, hedgeReserve) {
+	if !h.config.Budget.Spend(now, hedgeReserve) {
 		return
 	}
 	r.hedged = true
 	h.place(now, r, t, c)
-	h.config.Notify(r, Hedge(placed(now, t, c)))
+	h.config.OnVerdict(r, Hedge(placed(now, t, c)))
 }
 
 // tickSlack is the time between two looks at the runs under way.
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -32,9 +32,9 @@
 // Config sets up a Home.
 type Config struct {
 	Random *rand.Rand
-	Budget Budget
-	// Notify gets each verdict; it must not call the home.
-	Notify func(*Request, Verdict)
+	Budget RetryBudget
+	// OnVerdict gets each verdict; it must not call the home.
+	OnVerdict func(*Request, Verdict)
 	// OnEjection is told when failures have taken a target out, and when it is back; it must not call the home.
 	OnEjection func(Ejection)
 }
@@ -42,7 +42,7 @@
 // Ejection is a change of whether failures in a row keep a target out.
 type Ejection struct {
 	Target   string
-	Out      bool
+	Ejected  bool
 	Failures int
 }
 
@@ -52,7 +52,7 @@
 	targets []*target
 	byName  map[string]*target
 	// requests are all that wait or hold a place.
-	requests map[ID]*Request
+	requests map[RequestID]*Request
 	queue    []*Request
 	// bases holds the moving base time of each class, in seconds.
 	bases map[string]float64
@@ -75,7 +75,7 @@
 // New returns a home without targets.
 func New(c Config) *Home {
 	return &Home{
-		config: c, byName: map[string]*target{}, requests: map[ID]*Request{}, bases: map[string]float64{}, bytes: map[string]float64{},
+		config: c, byName: map[string]*target{}, requests: map[RequestID]*Request{}, bases: map[string]float64{}, bytes: map[string]float64{},
 		pace: firstPace, crowding: firstCrowding, busyAt: -time.Hour, crash: crashes{},
 	}
 }
@@ -89,12 +89,12 @@
 	names := make(map[string]*target, len(list))
 	for _, spec := range list {
 		t := h.byName[spec.Name]
-		if t == nil || t.Start != spec.Start || t.Address != spec.Address {
-			t = &target{Target: spec, warmUntil: now + spec.Warming, pacedAt: -time.Hour, seenAt: -time.Hour, failedAt: -time.Hour, probe: probe{asked: -time.Hour}}
+		if t == nil || t.Incarnation != spec.Incarnation || t.Address != spec.Address {
+			t = &target{Target: spec, warmUntil: now + spec.WarmUpLeft, pacedAt: -time.Hour, seenAt: -time.Hour, failedAt: -time.Hour, probe: probe{asked: -time.Hour}}
 		}
-		if spec.Warming != t.Warming {
+		if spec.WarmUpLeft != t.WarmUpLeft {
 			// The entry has been written anew; its time counts from now.
-			t.warmUntil = now + spec.Warming
+			t.warmUntil = now + spec.WarmUpLeft
 		}
 		t.Target = spec
 		next = append(next, t)
@@ -105,8 +105,8 @@
 	h.Dispatch(now)
 }
 
-// Ask offers a request; verdicts follow through Notify, the first one before Ask returns.
-func (h *Home) Ask(now time.Duration, r *Request) {
+// Submit offers a request; verdicts follow through Notify, the first one before Ask returns.
+func (h *Home) Submit(now time.Duration, r *Request) {
 	h.wake(now)
 	h.busyAt = now
 	h.earnProbes()
@@ -116,9 +116,9 @@
 		return
 	}
 	if len(r.Tried) == 0 {
-		h.config.Budget.Arrived(now)
-	} else if !h.config.Budget.Take(now, 0) {
-		h.refuse(now, r, ReasonRetryBudget)
+		h.config.Budget.AddRequest(now)
+	} else if !h.config.Budget.Spend(now, 0) {
+		h.refuse(now, r, ReasonRetryBudgetSpent)
 		return
 	}
 	if known := h.requests[r.ID]; known != nil {
@@ -134,7 +134,7 @@
 	h.queue = append(h.queue, r)
 	h.Dispatch(now)
 	if r.waiting {
-		h.config.Notify(r, Queued{})
+		h.config.OnVerdict(r, Queued{})
 	}
 }
 
@@ -145,7 +145,7 @@
 		return ReasonNoTargets, true
 	}
 	if now+h.wait(r)+h.base(r) > r.Deadline {
-		return ReasonTooLate, true
+		return ReasonDeadlineCannotBeMet, true
 	}
 	return "", false
 }
@@ -243,7 +243,7 @@
 			h.overdue.served(now)
 		}
 		h.place(now, r, t, c)
-		h.config.Notify(r, placed(now, t, c))
+		h.config.OnVerdict(r, placed(now, t, c))
 		return true
 	}
 	slots := h.slots(now)
@@ -253,7 +253,7 @@
 		return true
 	case now+time.Duration(float64(ahead)/float64(slots)*h.pace*float64(h.base(r)))+h.base(r) > r.Deadline,
 		h.late(now, r) == 1 && now+h.overdue.turn(now, lateAhead)+h.base(r) > r.Deadline:
-		h.refuse(now, r, ReasonTooLate)
+		h.refuse(now, r, ReasonDeadlineCannotBeMet)
 		return true
 	}
 	return false
@@ -356,7 +356,7 @@
 	if len(r.holds) == 0 {
 		delete(h.requests, r.ID)
 	}
-	h.config.Notify(r, Refused{
+	h.config.OnVerdict(r, Refused{
 		Reason: reason, RetryAfter: h.retryAfter(now, r, reason), Waiting: len(h.queue), Slots: h.slots(now), Expected: h.base(r),
 	})
 }
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -24,9 +24,9 @@
 }
 
 // newDesk returns a home with so many targets of three slots, all known to be at their usual pace.
-func newDesk(targets int, budget Budget) *desk {
+func newDesk(targets int, budget RetryBudget) *desk {
 	d := &desk{verdicts: map[uint64][]Verdict{}, now: time.Minute}
-	d.home = New(Config{Random: rand.New(rand.NewPCG(1, 1)), Budget: budget, Notify: func(r *Request, v Verdict) {
+	d.home = New(Config{Random: rand.New(rand.NewPCG(1, 1)), Budget: budget, OnVerdict: func(r *Request, v Verdict) {
 		d.verdicts[r.ID.Number] = append(d.verdicts[r.ID.Number], v)
 	}})
 	var list []Target
@@ -41,18 +41,18 @@
 // pace lets every target report a pace.
 func (d *desk) pace(pace float64) {
 	for _, t := range d.home.targets {
-		d.home.Probed(d.now, t.Name, Healthy, &Load{Running: len(t.holds), Slots: 3, Pace: pace})
+		d.home.RecordProbe(d.now, t.Name, ProbeHealthy, &LoadReport{Running: len(t.holds), Slots: 3, Pace: pace})
 	}
 }
 
 // ask offers a request with a goal of 250 ms and returns its number.
 func (d *desk) ask(change func(*Request)) uint64 {
 	d.next++
-	r := &Request{ID: ID{Number: d.next}, Class: "c", Goal: d.now + 250*time.Millisecond, Deadline: d.now + time.Second, Domain: "a"}
+	r := &Request{ID: RequestID{Number: d.next}, Class: "c", Goal: d.now + 250*time.Millisecond, Deadline: d.now + time.Second, Domain: "a"}
 	if change != nil {
 		change(r)
 	}
-	d.home.Ask(d.now, r)
+	d.home.Submit(d.now, r)
 	return r.ID.Number
 }
 
@@ -74,10 +74,10 @@
 }
 
 func (d *desk) done(number uint64, outcome Outcome) {
-	d.home.Done(d.now, Done{ID: ID{Number: number}, Target: d.placedAt(number), Outcome: outcome, Took: 90 * time.Millisecond, Load: &Load{Running: 1, Slots: 3, Pace: 1}})
+	d.home.RunEnded(d.now, RunEnd{ID: RequestID{Number: number}, Target: d.placedAt(number), Outcome: outcome, Duration: 90 * time.Millisecond, Load: &LoadReport{Running: 1, Slots: 3, Pace: 1}})
 }
 
-var plenty = Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
+var plenty = RetryBudget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
 // TestBindsLate offers more requests than there are slots: the rest waits, and goes to the first slot that comes free.
 func TestBindsLate(t *testing.T) {
@@ -88,7 +88,7 @@
 	}
 	waiting := d.ask(nil)
 	is.Equal(d.last(waiting), Queued{})
-	d.done(1, Answered)
+	d.done(1, OutcomeAnswered)
 	is.True(d.placedAt(waiting) != "")
 }
 
@@ -96,7 +96,7 @@
 func TestAvoidsNoisyTargets(t *testing.T) {
 	is := is.New(t)
 	d := newDesk(2, plenty)
-	d.home.Probed(d.now, "t0", Healthy, &Load{Slots: 3, Pace: 4})
+	d.home.RecordProbe(d.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 4})
 	for range 3 {
 		is.Equal(d.placedAt(d.ask(nil)), "t1")
 	}
@@ -110,10 +110,10 @@
 	d.now += time.Second
 	number := d.ask(nil)
 	is.Equal(d.last(number), Queued{})
-	due := d.home.Probes(d.now)
+	due := d.home.DueProbes(d.now)
 	is.True(len(due) >= askedAtOnce)
 	for _, p := range due {
-		d.home.Probed(d.now+3*time.Millisecond, p.Target, Healthy, &Load{Slots: 3, Pace: 1})
+		d.home.RecordProbe(d.now+3*time.Millisecond, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	}
 	is.True(d.placedAt(number) != "")
 	d.now += time.Second
@@ -135,7 +135,7 @@
 	young := d.ask(func(r *Request) { r.Priority = 2 })
 	urgent := d.ask(func(r *Request) { r.Priority = 1 })
 	for i, want := range []uint64{urgent, young, old} {
-		d.done(uint64(i+1), Answered)
+		d.done(uint64(i+1), OutcomeAnswered)
 		is.True(d.placedAt(want) != "")
 	}
 }
@@ -149,8 +149,8 @@
 		reason Reason
 	}{
 		{"no targets", func() *desk { return newDesk(0, plenty) }, nil, ReasonNoTargets},
-		{"no time", func() *desk { return newDesk(2, plenty) }, func(r *Request) { r.Deadline = r.Goal - 240*time.Millisecond }, ReasonTooLate},
-		{"retry without budget", func() *desk { return newDesk(2, Budget{Window: 10 * time.Second}) }, func(r *Request) { r.Tried = []string{"t0"} }, ReasonRetryBudget},
+		{"no time", func() *desk { return newDesk(2, plenty) }, func(r *Request) { r.Deadline = r.Goal - 240*time.Millisecond }, ReasonDeadlineCannotBeMet},
+		{"retry without budget", func() *desk { return newDesk(2, RetryBudget{Window: 10 * time.Second}) }, func(r *Request) { r.Tried = []string{"t0"} }, ReasonRetryBudgetSpent},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 	for range 40 {
 		number := d.ask(func(r *Request) { r.Class, r.Goal, r.Deadline = "patient", d.now+time.Minute, d.now+2*time.Minute })
 		if d.placedAt(number) != "" {
-			d.done(number, Silent)
+			d.done(number, OutcomeTimedOut)
 		}
 	}
 	sound := 0
@@ -215,7 +215,7 @@
 	d.now += firstEjection
 	d.home.Tick(d.now)
 	is.Equal(len(told), 2)
-	is.Equal(told[1].Out, false)
+	is.Equal(told[1].Ejected, false)
 }
 
 // TestQuarantine runs a request that breaks each target: it reaches crashesToQuarantine targets and no more.
@@ -227,7 +227,7 @@
 		number := d.ask(func(r *Request) { r.Fingerprint = 7 })
 		if d.placedAt(number) != "" {
 			placed++
-			d.done(number, Broken)
+			d.done(number, OutcomeConnectionBroke)
 			continue
 		}
 		is.Equal(d.last(number).(Refused).Reason, ReasonQuarantined)
@@ -246,7 +246,7 @@
 	waiting := d.ask(nil)
 	d.now += 120 * time.Millisecond
 	is.Equal(d.last(waiting), Queued{})
-	d.home.Probed(d.now, "t0", Healthy, &Load{Slots: 3, Pace: 1})
+	d.home.RecordProbe(d.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	is.True(d.placedAt(waiting) != "")
 }
 
@@ -284,11 +284,11 @@
 	d := newDesk(2, plenty)
 	d.ask(nil)
 	d.now += probeEvery
-	is.Equal(len(d.home.Probes(d.now)), 2)
-	d.home.Probed(d.now, "t1", Healthy, &Load{Slots: 3, Pace: 1})
+	is.Equal(len(d.home.DueProbes(d.now)), 2)
+	d.home.RecordProbe(d.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	d.now += silentAfter + time.Millisecond
 	d.home.Tick(d.now)
-	d.home.Probed(d.now, "t1", Healthy, &Load{Slots: 3, Pace: 1})
+	d.home.RecordProbe(d.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	for range 3 {
 		is.Equal(d.placedAt(d.ask(nil)), "t1")
 	}
@@ -298,7 +298,7 @@
 func TestWarmingEnds(t *testing.T) {
 	is := is.New(t)
 	d := newDesk(1, plenty)
-	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, Warming: time.Second}}
+	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
 	for range 20 {
 		d.home.SetTargets(d.now, list)
 		d.now += 100 * time.Millisecond
@@ -311,12 +311,12 @@
 	is := is.New(t)
 	d := newDesk(3, plenty)
 	number := d.ask(nil)
-	d.done(number, Unreachable)
+	d.done(number, OutcomeUnreachable)
 	for range 100 {
 		d.now += 100 * time.Millisecond
 		d.home.Tick(d.now)
-		for _, p := range d.home.Probes(d.now) {
-			d.home.Probed(d.now, p.Target, Gone, nil)
+		for _, p := range d.home.DueProbes(d.now) {
+			d.home.RecordProbe(d.now, p.Target, ProbeNoAnswer, nil)
 		}
 	}
 	before := d.now - busyFor
@@ -326,7 +326,7 @@
 	}
 	again := d.ask(nil)
 	is.Equal(d.last(again), Queued{}) // it waits for fresh knowledge
-	is.Equal(len(d.home.Probes(d.now)), 3)
+	is.Equal(len(d.home.DueProbes(d.now)), 3)
 }
 
 // TestBudgetHolds spends repeats in any pattern: in no sliding window are there more than the ratio and slack allow. The
@@ -334,7 +334,7 @@
 // service's owners count them.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
+		b := RetryBudget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
 		type moment struct {
 			at           time.Duration
 			first, extra int
@@ -345,10 +345,10 @@
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond
 			m := moment{at: now, first: rapid.IntRange(0, 20).Draw(t, "first")}
 			for range m.first {
-				b.Arrived(now)
+				b.AddRequest(now)
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "wanted") {
-				if b.Take(now, 0) {
+				if b.Spend(now, 0) {
 					m.extra++
 				}
 			}
@@ -381,21 +381,21 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				d.ask(func(r *Request) { r.ID.Host = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
+				d.ask(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
 			case 2:
-				d.home.Leave(d.now, uint64(rapid.IntRange(1, 3).Draw(t, "leaving")))
+				d.home.EndStream(d.now, uint64(rapid.IntRange(1, 3).Draw(t, "leaving")))
 			case 3:
 				d.now += 20 * time.Millisecond
 				d.home.Tick(d.now)
 			case 4:
 				for id := range d.home.requests {
-					d.home.Withdraw(id)
+					d.home.CancelQueued(id)
 				}
 			}
 		}
 		d.now += time.Minute
 		d.home.Tick(d.now)
-		if n := len(d.home.requests) + d.home.Queued(); n > 0 {
+		if n := len(d.home.requests) + d.home.QueueLength(); n > 0 {
 			t.Fatalf("%d requests are still known", n)
 		}
 		for _, x := range d.home.targets {
@@ -420,9 +420,9 @@
 				d.ask(func(r *Request) { r.Goal, r.Deadline = d.now+time.Second, d.now+time.Second })
 			}
 			d.home.Tick(d.now)
-			for _, p := range d.home.Probes(d.now) {
+			for _, p := range d.home.DueProbes(d.now) {
 				probes++
-				d.home.Probed(d.now, p.Target, Healthy, &Load{Slots: 3, Pace: 1})
+				d.home.RecordProbe(d.now, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 			}
 		}
 	}
@@ -437,16 +437,16 @@
 func TestWarmingTargetsAreUsed(t *testing.T) {
 	is := is.New(t)
 	d := newDesk(2, plenty)
-	d.done(d.ask(nil), Answered) // the class takes 90 ms
+	d.done(d.ask(nil), OutcomeAnswered) // the class takes 90 ms
 	for range 6 {
 		is.True(d.placedAt(d.ask(nil)) != "")
 	}
-	list := []Target{{Name: "new", Address: "10.0.0.2:80", Domain: "a", Slots: 3, Warming: 3 * time.Second}}
+	list := []Target{{Name: "new", Address: "10.0.0.2:80", Domain: "a", Slots: 3, WarmUpLeft: 3 * time.Second}}
 	for _, x := range d.home.targets {
 		list = append(list, x.Target)
 	}
 	d.home.SetTargets(d.now, list)
-	d.home.Probed(d.now, "new", Healthy, &Load{Slots: 3, Pace: 2})
+	d.home.RecordProbe(d.now, "new", ProbeHealthy, &LoadReport{Slots: 3, Pace: 2})
 	is.Equal(d.placedAt(d.ask(nil)), "new") // 180 ms of 250
 }
 
@@ -458,11 +458,11 @@
 		for round := range rounds {
 			d.now += probeEvery
 			if round%4 == 0 {
-				d.done(d.ask(nil), Answered)
+				d.done(d.ask(nil), OutcomeAnswered)
 			}
-			for _, p := range d.home.Probes(d.now) {
+			for _, p := range d.home.DueProbes(d.now) {
 				sent++
-				d.home.Probed(d.now, p.Target, Healthy, &Load{Slots: 3, Pace: 1})
+				d.home.RecordProbe(d.now, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 			}
 		}
 		return sent
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -58,29 +58,29 @@
 	return true
 }
 
-// Health is what a probe found.
-type Health int
+// ProbeResult is what a probe found.
+type ProbeResult int
 
 // The results of a probe.
 const (
-	// Healthy means that the target answered and calls itself healthy.
-	Healthy Health = iota
-	// Ill means that the target answered and calls itself ill.
-	Ill
-	// Gone means that the target gave no answer.
-	Gone
-	// Replaced means that another server answered at the target's address.
-	Replaced
+	// ProbeHealthy means that the target answered and calls itself healthy.
+	ProbeHealthy ProbeResult = iota
+	// ProbeUnhealthy means that the target answered and calls itself ill.
+	ProbeUnhealthy
+	// ProbeNoAnswer means that the target gave no answer.
+	ProbeNoAnswer
+	// ProbeOtherServer means that another server answered at the target's address.
+	ProbeOtherServer
 )
 
-// Probes returns the targets to probe now; each must be followed by Probed.
-func (h *Home) Probes(now time.Duration) []Placed {
+// DueProbes returns the targets to probe now; each must be followed by Probed.
+func (h *Home) DueProbes(now time.Duration) []Placed {
 	var due []Placed
 	for _, t := range h.targets {
 		if !h.primary && h.probeCredit < 1 {
 			break
 		}
-		if t.probe.pending || t.Leaving || !t.probe.wanted && !h.probeDue(now, t) || !t.probe.take(now) {
+		if t.probe.pending || t.Draining || !t.probe.wanted && !h.probeDue(now, t) || !t.probe.take(now) {
 			continue
 		}
 		if !h.primary {
@@ -146,23 +146,23 @@
 	return true
 }
 
-// Probed takes in the result of a probe that Probes asked for.
-func (h *Home) Probed(now time.Duration, name string, health Health, load *Load) {
+// RecordProbe takes in the result of a probe that Probes asked for.
+func (h *Home) RecordProbe(now time.Duration, name string, health ProbeResult, load *LoadReport) {
 	t := h.byName[name]
 	if t == nil {
 		return
 	}
 	t.probe.pending = false
 	switch health {
-	case Healthy:
+	case ProbeHealthy:
 		t.probe.down = false
 		t.misplaced = false
-	case Ill, Gone:
+	case ProbeUnhealthy, ProbeNoAnswer:
 		t.probe.down = true
-	case Replaced:
+	case ProbeOtherServer:
 		t.misplaced = true
 	}
-	if load != nil && health != Replaced {
+	if load != nil && health != ProbeOtherServer {
 		h.reported(now, t, *load)
 	}
 	h.Dispatch(now)
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// ID names a request among all that a home knows.
-type ID struct {
-	// Host numbers the conversation with the host that asked.
-	Host uint64
+// RequestID names a request among all that a home knows.
+type RequestID struct {
+	// Stream numbers the conversation with the host that asked.
+	Stream uint64
 	// Number is the host's own number for the request.
 	Number uint64
 }
 
 // Request asks for a place. Times are on the home's clock.
 type Request struct {
-	ID ID
+	ID RequestID
 	// Class names requests that take about the same work.
 	Class    string
 	Priority int
@@ -78,10 +78,10 @@
 
 // The reasons of a refusal.
 const (
-	ReasonNoTargets   Reason = "NoTargets"
-	ReasonTooLate     Reason = "DeadlineCannotBeMet"
-	ReasonRetryBudget Reason = "RetryBudgetSpent"
-	ReasonQuarantined Reason = "Quarantined"
+	ReasonNoTargets           Reason = "NoTargets"
+	ReasonDeadlineCannotBeMet Reason = "DeadlineCannotBeMet"
+	ReasonRetryBudgetSpent    Reason = "RetryBudgetSpent"
+	ReasonQuarantined         Reason = "Quarantined"
 )
 
 // Outcome is how a run on a target ended.
@@ -89,26 +89,26 @@
 
 // The outcomes of a run.
 const (
-	// Answered means that a whole answer came.
-	Answered Outcome = iota
-	// Failed means that the target answered with a failure of its own.
-	Failed
-	// NotRun means that the target said it did not run the request.
-	NotRun
-	// Unreachable means that no byte of the request reached the target.
-	Unreachable
-	// Broken means that the connection ended, or nothing usable came, after the request was sent.
-	Broken
-	// Silent means that no answer came in time.
-	Silent
-	// Abandoned means that the host ended the run; it says nothing of the target.
-	Abandoned
-	// Misplaced means that another server has the target's address.
-	Misplaced
+	// OutcomeAnswered means that a whole answer came.
+	OutcomeAnswered Outcome = iota
+	// OutcomeFailed means that the target answered with a failure of its own.
+	OutcomeFailed
+	// OutcomeNotRun means that the target said it did not run the request.
+	OutcomeNotRun
+	// OutcomeUnreachable means that no byte of the request reached the target.
+	OutcomeUnreachable
+	// OutcomeConnectionBroke means that the connection ended, or nothing usable came, after the request was sent.
+	OutcomeConnectionBroke
+	// OutcomeTimedOut means that no answer came in time.
+	OutcomeTimedOut
+	// OutcomeCanceled means that the host ended the run; it says nothing of the target.
+	OutcomeCanceled
+	// OutcomeOtherServer means that another server has the target's address.
+	OutcomeOtherServer
 )
 
-// Load is what a target says of itself.
-type Load struct {
+// LoadReport is what a target says of itself.
+type LoadReport struct {
 	Running int
 	Waiting int
 	Slots   int
--- a/internal/placement/returns.go
+++ b/internal/placement/returns.go
@@ -31,7 +31,7 @@
 		return quarantineReturn
 	case ReasonNoTargets:
 		pause = outageReturn
-	case ReasonTooLate, ReasonRetryBudget:
+	case ReasonDeadlineCannotBeMet, ReasonRetryBudgetSpent:
 		if slots := h.slots(now); slots > 0 {
 			pause = max(pause, time.Duration(float64(len(h.queue)+1)/float64(slots)*h.pace*float64(h.base(r))))
 		}
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -40,12 +40,12 @@
 	Domain  string
 	// Slots is how many requests it runs at a time.
 	Slots int
-	// Leaving is set once it takes no new work.
-	Leaving bool
-	// Warming is how long it stays slow, counted from when this was told.
-	Warming time.Duration
-	// Start identifies one start of the target; another value means that it holds and knows nothing of before.
-	Start int64
+	// Draining is set once it takes no new work.
+	Draining bool
+	// WarmUpLeft is how long it stays slow, counted from when this was told.
+	WarmUpLeft time.Duration
+	// Incarnation identifies one start of the target; another value means that it holds and knows nothing of before.
+	Incarnation int64
 }
 
 // target is what the home knows of one target.
@@ -97,7 +97,7 @@
 }
 
 // usable reports whether the target may get requests at all.
-func (t *target) usable() bool { return !t.Leaving && !t.misplaced }
+func (t *target) usable() bool { return !t.Draining && !t.misplaced }
 
 // sound reports whether nothing speaks against the target now.
 func (t *target) sound(now time.Duration) bool {
@@ -137,7 +137,7 @@
 }
 
 // report takes in the target's own word.
-func (t *target) report(now time.Duration, l Load) {
+func (t *target) report(now time.Duration, l LoadReport) {
 	if l.Pace > 0 {
 		t.pace, t.pacedAt = l.Pace, now
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -23,8 +23,8 @@
 // Config sets up a Roster.
 type Config struct {
 	Decode DecodeFunc
-	// OnRefused is told of entries that can't be used.
-	OnRefused func(key string, err error)
+	// OnRejectedEntry is told of entries that can't be used.
+	OnRejectedEntry func(key string, err error)
 	// OnChange is told after each change of the view, which may have changed again by then.
 	OnChange func()
 }
@@ -34,14 +34,14 @@
 	Configuration note.Configuration
 	// Targets lists the targets of each service, sorted by name.
 	Targets map[string][]Target
-	// Neighbours are inner addresses of other entry hosts, by store key.
-	Neighbours map[string]string
+	// PeerAddresses are inner addresses of other entry hosts, by store key.
+	PeerAddresses map[string]string
 }
 
 // record is the newest knowledge of one key.
 type record struct {
 	change platform.Change
-	item   Item
+	item   DecodedEntry
 	// until is when a removed target goes out of use; zero means at once.
 	until time.Duration
 }
@@ -117,8 +117,8 @@
 	return slices.DeleteFunc(changes, func(c platform.Change) bool { return c.Revision != last[c.Key] && c.Revision != r.inForce.Revision })
 }
 
-// Replace takes in a snapshot: keys that it lacks were removed at some time before.
-func (r *Roster) Replace(now time.Duration, entries []platform.Entry, revision int64) []platform.Change {
+// ApplySnapshot takes in a snapshot: keys that it lacks were removed at some time before.
+func (r *Roster) ApplySnapshot(now time.Duration, entries []platform.Entry, revision int64) []platform.Change {
 	listed := map[string]bool{}
 	changes := make([]platform.Change, 0, len(entries))
 	for _, e := range entries {
@@ -146,9 +146,9 @@
 	}
 	item, err := r.config.Decode(c.Key, c.Value)
 	if err != nil {
-		r.config.OnRefused(c.Key, err)
+		r.config.OnRejectedEntry(c.Key, err)
 	}
-	if configured, is := item.(Configured); is {
+	if configured, is := item.(ConfigurationEntry); is {
 		r.configure(c, configured.Configuration)
 	}
 	r.records[c.Key] = &record{change: c, item: item}
@@ -158,7 +158,7 @@
 // configure puts a configuration in force unless it is older than the one that is.
 func (r *Roster) configure(change platform.Change, c note.Configuration) {
 	if c.Number < r.configured.Number {
-		r.config.OnRefused(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configured.Number))
+		r.config.OnRejectedEntry(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configured.Number))
 		return
 	}
 	r.configured, r.inForce = c, change
@@ -211,15 +211,15 @@
 }
 
 func (r *Roster) build() *View {
-	v := &View{Configuration: r.configured, Targets: map[string][]Target{}, Neighbours: map[string]string{}}
+	v := &View{Configuration: r.configured, Targets: map[string][]Target{}, PeerAddresses: map[string]string{}}
 	for key, known := range r.records {
 		switch item := known.item.(type) {
-		case Registered:
+		case TargetEntry:
 			if _, named := r.configured.Service(item.Target.Service); named {
 				v.Targets[item.Target.Service] = append(v.Targets[item.Target.Service], item.Target)
 			}
-		case Neighbour:
-			v.Neighbours[key] = item.Inner
+		case PeerEntry:
+			v.PeerAddresses[key] = item.Inner
 		}
 	}
 	for _, list := range v.Targets {
@@ -228,9 +228,9 @@
 	return v
 }
 
-// Changes returns everything the roster holds as changes, oldest first, for a peer that knows nothing, and the revision that it
+// AllChanges returns everything the roster holds as changes, oldest first, for a peer that knows nothing, and the revision that it
 // is whole at.
-func (r *Roster) Changes() ([]platform.Change, int64) {
+func (r *Roster) AllChanges() ([]platform.Change, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]platform.Change, 0, len(r.records))
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -20,19 +20,19 @@
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
 // decode reads the entries of these tests: "config" holds a number, "t/NAME" an address.
-func decode(key string, value []byte) (Item, error) {
+func decode(key string, value []byte) (DecodedEntry, error) {
 	switch {
 	case key == "config":
 		n, err := strconv.Atoi(string(value))
 		if err != nil {
 			return nil, err
 		}
-		return Configured{note.Configuration{Number: n, Services: []note.Service{{Name: "s"}}}}, nil
+		return ConfigurationEntry{note.Configuration{Number: n, Services: []note.Service{{Name: "s"}}}}, nil
 	case strings.HasPrefix(key, "t/"):
 		if len(value) == 0 {
 			return nil, errors.New("no address")
 		}
-		return Registered{Target{Service: "s", Target: placement.Target{Name: key[2:], Address: string(value), Slots: 1}}}, nil
+		return TargetEntry{Target{Service: "s", Target: placement.Target{Name: key[2:], Address: string(value), Slots: 1}}}, nil
 	}
 	return nil, nil
 }
@@ -45,7 +45,7 @@
 
 func newBook() *book {
 	b := &book{}
-	b.Roster = New(Config{Decode: decode, OnRefused: func(string, error) { b.refused++ }, OnChange: func() { b.changes++ }})
+	b.Roster = New(Config{Decode: decode, OnRejectedEntry: func(string, error) { b.refused++ }, OnChange: func() { b.changes++ }})
 	return b
 }
 
@@ -97,7 +97,7 @@
 			news := b.Apply(0, append(burst, c.last...), 50)
 			is.Equal(len(news), c.news)
 			follower.Apply(0, news, 50)
-			everything, revision := b.Changes()
+			everything, revision := b.AllChanges()
 			late.Apply(0, everything, revision)
 			for _, x := range []*book{b, follower, late} {
 				is.Equal(x.View().Configuration.Number, 39)
@@ -116,7 +116,7 @@
 	is.Equal(b.targets(), 3)
 	b.Apply(now, []platform.Change{gone("t/a", 5)}, 5)
 	is.Equal(b.targets(), 2)
-	b.Replace(now, []platform.Entry{{Key: "config", Value: []byte("1"), Revision: 1}, {Key: "t/b", Value: []byte("y"), Revision: 3}}, 9)
+	b.ApplySnapshot(now, []platform.Entry{{Key: "config", Value: []byte("1"), Revision: 1}, {Key: "t/b", Value: []byte("y"), Revision: 3}}, 9)
 	is.Equal(b.targets(), 1)
 	is.True(b.StoreReturned(now))
 	is.True(!b.StoreReturned(now + time.Second)) // the same return, noticed by another host
--- a/internal/roster/target.go
+++ b/internal/roster/target.go
@@ -11,21 +11,21 @@
 	Service string
 }
 
-// Item is what one entry of the store says: Configured, Registered or Neighbour.
-type Item interface{ item() }
+// DecodedEntry is what one entry of the store says: Configured, Registered or Neighbour.
+type DecodedEntry interface{ decodedEntry() }
 
-// Configured is the newest configuration.
-type Configured struct{ Configuration note.Configuration }
+// ConfigurationEntry is the newest configuration.
+type ConfigurationEntry struct{ Configuration note.Configuration }
 
-// Registered is one target.
-type Registered struct{ Target Target }
+// TargetEntry is one target.
+type TargetEntry struct{ Target Target }
 
-// Neighbour is the inner address of an entry host, left in the store for hosts that know none.
-type Neighbour struct{ Inner string }
+// PeerEntry is the inner address of an entry host, left in the store for hosts that know none.
+type PeerEntry struct{ Inner string }
 
-func (Configured) item() {}
-func (Registered) item() {}
-func (Neighbour) item()  {}
+func (ConfigurationEntry) decodedEntry() {}
+func (TargetEntry) decodedEntry()        {}
+func (PeerEntry) decodedEntry()          {}
 
 // DecodeFunc reads one entry; it returns nil without error for a key that is none of the project's concern.
-type DecodeFunc = func(key string, value []byte) (Item, error)
+type DecodeFunc = func(key string, value []byte) (DecodedEntry, error)
