--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -32,15 +32,15 @@
 func (g *Gateway) askHealth(ctx context.Context, p placement.Placed, path string) (placement.ProbeResult, *placement.LoadReport) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
-		return placement.ProbeNoAnswer, nil
+		return placement.ProbeNoResponse, nil
 	}
 	response, err := g.pools.get(p.Target, p.Address).Do(r, backend.Try{})
 	if err != nil {
-		return placement.ProbeNoAnswer, nil
+		return placement.ProbeNoResponse, nil
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth)); err != nil {
-		return placement.ProbeNoAnswer, nil
+		return placement.ProbeNoResponse, nil
 	}
 	if name := response.Header.Get(g.dialect.InstanceHeader); name != "" && name != p.Target {
 		return placement.ProbeOtherServer, nil
--- a/internal/meter/budget.go
+++ b/internal/meter/budget.go
@@ -36,22 +36,22 @@
 
 // Budget is the one limiter that everything that measures asks first.
 type Budget struct {
-	mu     sync.Mutex
-	config BudgetConfig
-	probes *rate.Limiter
-	bytes  *rate.Limiter
-	core   *rate.Limiter
-	spent  map[string]*Spent
-	core0  time.Duration
+	mu        sync.Mutex
+	config    BudgetConfig
+	probes    *rate.Limiter
+	bytes     *rate.Limiter
+	core      *rate.Limiter
+	spent     map[string]*Spent
+	coreSpent time.Duration
 }
 
-// burstTime is how much of a budget may be saved up.
-const burstTime = time.Second
+// burstPeriod is how much of a budget may be saved up.
+const burstPeriod = time.Second
 
 // NewBudget returns a full budget.
 func NewBudget(c BudgetConfig) *Budget {
 	limiter := func(perSec float64) *rate.Limiter {
-		return rate.NewLimiter(rate.Limit(perSec), int(max(1, perSec*burstTime.Seconds())))
+		return rate.NewLimiter(rate.Limit(perSec), int(max(1, perSec*burstPeriod.Seconds())))
 	}
 	return &Budget{
 		config: c, spent: map[string]*Spent{}, probes: limiter(c.ProbesPerSec),
@@ -64,7 +64,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := b.config.Epoch.Add(now)
-	spent := b.domain(domain)
+	spent := b.spentIn(domain)
 	probes := 0
 	if activity == ActivityProbe {
 		probes = 1
@@ -87,7 +87,7 @@
 func (b *Budget) Charge(now, core time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core0 += core
+	b.coreSpent += core
 	at := b.config.Epoch.Add(now)
 	for core > 0 {
 		part := min(int(core), b.core.Burst())
@@ -96,7 +96,7 @@
 	}
 }
 
-func (b *Budget) domain(name string) *Spent {
+func (b *Budget) spentIn(name string) *Spent {
 	s := b.spent[name]
 	if s == nil {
 		s = &Spent{Domain: name}
@@ -118,7 +118,7 @@
 func (b *Budget) Usage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := Usage{b.config.ProbesPerSec, b.config.BytesPerSec, b.config.CoreShare, b.core0, nil}
+	u := Usage{b.config.ProbesPerSec, b.config.BytesPerSec, b.config.CoreShare, b.coreSpent, nil}
 	for _, s := range b.spent {
 		u.Domains = append(u.Domains, *s)
 	}
--- a/internal/meter/budget_test.go
+++ b/internal/meter/budget_test.go
@@ -40,7 +40,7 @@
 			bytes := 0
 			for j := i; j < len(spends); j++ {
 				bytes += spends[j].bytes
-				stretch := (spends[j].at - spends[i].at + burstTime).Seconds()
+				stretch := (spends[j].at - spends[i].at + burstPeriod).Seconds()
 				if probes := float64(j - i + 1); probes > c.ProbesPerSec*stretch+1e-6 {
 					t.Fatalf("%v probes in %v s with a budget of %v a second", probes, stretch, c.ProbesPerSec)
 				}
--- a/internal/meter/histogram.go
+++ b/internal/meter/histogram.go
@@ -10,8 +10,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// longestLatency is the highest latency that a histogram tells apart.
-const longestLatency = 10 * time.Minute
+// maxLatency is the highest latency that a histogram tells apart.
+const maxLatency = 10 * time.Minute
 
 // Key names one histogram.
 type Key struct {
@@ -33,16 +33,16 @@
 // Histograms holds a latency histogram per service and class.
 type Histograms struct {
 	mu    sync.RWMutex
-	byKey map[Key]*guarded
+	byKey map[Key]*lockedHistogram
 }
 
-type guarded struct {
+type lockedHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
 // NewHistograms returns an empty set.
-func NewHistograms() *Histograms { return &Histograms{byKey: map[Key]*guarded{}} }
+func NewHistograms() *Histograms { return &Histograms{byKey: map[Key]*lockedHistogram{}} }
 
 // Record adds one latency.
 func (h *Histograms) Record(k Key, latency time.Duration) {
@@ -50,10 +50,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// The value is clamped, so RecordValue cannot fail.
-	_ = g.histogram.RecordValue(int64(min(max(latency, 0), longestLatency) / time.Microsecond))
+	_ = g.histogram.RecordValue(int64(min(max(latency, 0), maxLatency) / time.Microsecond))
 }
 
-func (h *Histograms) get(k Key) *guarded {
+func (h *Histograms) get(k Key) *lockedHistogram {
 	h.mu.RLock()
 	g := h.byKey[k]
 	h.mu.RUnlock()
@@ -63,7 +63,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g = h.byKey[k]; g == nil {
-		g = &guarded{histogram: hdrhistogram.New(1, int64(longestLatency/time.Microsecond), 2)}
+		g = &lockedHistogram{histogram: hdrhistogram.New(1, int64(maxLatency/time.Microsecond), 2)}
 		h.byKey[k] = g
 	}
 	return g
--- /dev/null
+++ b/internal/placement/crash_tracker.go
@@ -0,0 +1,57 @@
+package placement
+
+import "time"
+
+// Limits of the quarantine for requests that crash targets.
+const (
+	crashesToQuarantine = 3
+	quarantineTime      = 2 * time.Minute
+	maxCrashSuspects    = 4096
+)
+
+// crashSuspect is a request during which at least one target closed the connection without a response.
+type crashSuspect struct {
+	targets map[string]bool
+	last    time.Duration
+}
+
+// crashTracker finds requests that crash every target they run on. Its keys are request fingerprints.
+type crashTracker map[uint64]*crashSuspect
+
+// connectionBroke records that the connection to a target broke while the target ran the request.
+func (c crashTracker) connectionBroke(now time.Duration, fingerprint uint64, name string) {
+	if fingerprint == 0 {
+		return
+	}
+	s := c[fingerprint]
+	if s == nil {
+		if len(c) >= maxCrashSuspects {
+			c.evict(now)
+		}
+		s = &crashSuspect{targets: map[string]bool{}}
+		c[fingerprint] = s
+	}
+	s.targets[name] = true
+	s.last = now
+}
+
+// forget removes a request from the suspects, because a target has answered it.
+func (c crashTracker) forget(fingerprint uint64) { delete(c, fingerprint) }
+
+// quarantined reports whether a request must not be sent to any more targets.
+func (c crashTracker) quarantined(now time.Duration, fingerprint uint64) bool {
+	s := c[fingerprint]
+	return s != nil && len(s.targets) >= crashesToQuarantine && now-s.last < quarantineTime
+}
+
+// evict removes suspects older than quarantineTime, or all of them if that does not make room.
+func (c crashTracker) evict(now time.Duration) {
+	for fingerprint, s := range c {
+		if now-s.last > quarantineTime {
+			delete(c, fingerprint)
+		}
+	}
+	if len(c) >= maxCrashSuspects {
+		clear(c)
+	}
+}
--- a/internal/placement/hedge.go
+++ b/internal/placement/hedge.go
@@ -7,54 +7,54 @@
 
 // Limits of hedging.
 const (
-	// hedgeRatio is the age of a run, in expected times, from which a second run is of use.
-	hedgeRatio = 1.6
-	// lastChanceRatio is the same when a later second run would miss the goal.
-	lastChanceRatio = 1.25
-	// hedgeMargin is how much longer than expected a second run may take and still meet the goal.
+	// hedgeAgeRatio is the age of a run, relative to its expected duration, from which a hedge is worthwhile.
+	hedgeAgeRatio = 1.6
+	// lastChanceAgeRatio replaces hedgeAgeRatio if a hedge started at the next tick would miss the request's goal.
+	lastChanceAgeRatio = 1.25
+	// hedgeMargin is the safety factor on the expected duration of a hedge when it is compared with the goal.
 	hedgeMargin = 1.3
-	// hedgeReserve is how many repeats of the budget are kept for retries after failures.
+	// hedgeReserve is how many extra attempts of the retry budget hedges leave for retries after failures.
 	hedgeReserve = 10.0
 )
 
-// hedge starts second runs of repeatable requests that are late while targets stand free.
-// It answers targets that turn slow or swallow a request after it was placed.
-func (h *Home) hedge(now time.Duration) {
+// startHedges starts a second run for each repeatable request whose run is late, if targets have free slots.
+// This limits the latency that a target causes when it becomes slow or drops a request.
+func (h *Home) startHedges(now time.Duration) {
 	if len(h.queue) > 0 {
 		return
 	}
 	for _, t := range h.targets {
-		for _, held := range t.holds {
-			r := held.request
-			if r.Repeatable && !r.hedged && !r.waiting && len(r.holds) == 1 {
-				h.hedgeOne(now, r, held)
+		for _, active := range t.runs {
+			r := active.request
+			if r.Repeatable && !r.hedged && !r.queued && len(r.runs) == 1 {
+				h.hedgeIfLate(now, r, active)
 			}
 		}
 	}
 }
 
-func (h *Home) hedgeOne(now time.Duration, r *Request, first *hold) {
-	age := float64(now-first.started) / float64(first.expected)
-	if age < lastChanceRatio {
+func (h *Home) hedgeIfLate(now time.Duration, r *Request, first *run) {
+	ageRatio := float64(now-first.startedAt) / float64(first.expected)
+	if ageRatio < lastChanceAgeRatio {
 		return
 	}
-	t, c := h.pickBut(now, r, append(slices.Clone(r.Tried), first.target.Name))
-	if t == nil || c.crowded || now+c.expected > r.Deadline {
+	t, c := h.pickTarget(now, r, append(slices.Clone(r.Tried), first.target.Name))
+	if t == nil || c.nearlyFull || now+c.expected > r.Deadline {
 		return
 	}
 	end := now + time.Duration(hedgeMargin*float64(c.expected))
 	inTime := end <= r.Goal
-	lastChance := inTime && end+tickSlack > r.Goal
-	if !lastChance && (age < hedgeRatio || !inTime && h.late(now, r) == 0) {
+	lastChance := inTime && end+tickInterval > r.Goal
+	if !lastChance && (ageRatio < hedgeAgeRatio || !inTime && h.late(now, r) == 0) {
 		return
 	}
 	if !h.config.Budget.Spend(now, hedgeReserve) {
 		return
 	}
 	r.hedged = true
-	h.place(now, r, t, c)
-	h.config.OnVerdict(r, Hedge(placed(now, t, c)))
+	h.startRun(now, r, t, c)
+	h.config.OnVerdict(r, Hedge(newPlaced(now, t, c)))
 }
 
-// tickSlack is the time between two looks at the runs under way.
-const tickSlack = 10 * time.Millisecond
+// tickInterval is the expected interval between calls of Tick.
+const tickInterval = 10 * time.Millisecond
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -15,17 +15,17 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// desk collects what a home decides.
-type desk struct {
-	home     *Home
-	verdicts map[uint64][]Verdict
-	now      time.Duration
-	next     uint64
+// testHome collects what a home decides.
+type testHome struct {
+	home       *Home
+	verdicts   map[uint64][]Verdict
+	now        time.Duration
+	lastNumber uint64
 }
 
-// newDesk returns a home with so many targets of three slots, all known to be at their usual pace.
-func newDesk(targets int, budget RetryBudget) *desk {
-	d := &desk{verdicts: map[uint64][]Verdict{}, now: time.Minute}
+// newTestHome returns a home with so many targets of three slots, all known to be at their usual pace.
+func newTestHome(targets int, budget RetryBudget) *testHome {
+	d := &testHome{verdicts: map[uint64][]Verdict{}, now: time.Minute}
 	d.home = New(Config{Random: rand.New(rand.NewPCG(1, 1)), Budget: budget, OnVerdict: func(r *Request, v Verdict) {
 		d.verdicts[r.ID.Number] = append(d.verdicts[r.ID.Number], v)
 	}})
@@ -34,21 +34,21 @@
 		list = append(list, Target{Name: fmt.Sprintf("t%d", i), Address: "10.0.0.1:80", Domain: "a", Slots: 3})
 	}
 	d.home.SetTargets(d.now, list)
-	d.pace(1)
+	d.reportPace(1)
 	return d
 }
 
-// pace lets every target report a pace.
-func (d *desk) pace(pace float64) {
+// reportPace lets every target report a pace.
+func (d *testHome) reportPace(pace float64) {
 	for _, t := range d.home.targets {
-		d.home.RecordProbe(d.now, t.Name, ProbeHealthy, &LoadReport{Running: len(t.holds), Slots: 3, Pace: pace})
+		d.home.RecordProbe(d.now, t.Name, ProbeHealthy, &LoadReport{Running: len(t.runs), Slots: 3, Pace: pace})
 	}
 }
 
-// ask offers a request with a goal of 250 ms and returns its number.
-func (d *desk) ask(change func(*Request)) uint64 {
-	d.next++
-	r := &Request{ID: RequestID{Number: d.next}, Class: "c", Goal: d.now + 250*time.Millisecond, Deadline: d.now + time.Second, Domain: "a"}
+// submit offers a request with a goal of 250 ms and returns its number.
+func (d *testHome) submit(change func(*Request)) uint64 {
+	d.lastNumber++
+	r := &Request{ID: RequestID{Number: d.lastNumber}, Class: "c", Goal: d.now + 250*time.Millisecond, Deadline: d.now + time.Second, Domain: "a"}
 	if change != nil {
 		change(r)
 	}
@@ -56,8 +56,8 @@
 	return r.ID.Number
 }
 
-// last returns the newest verdict on a request.
-func (d *desk) last(number uint64) Verdict {
+// lastVerdict returns the newest verdict on a request.
+func (d *testHome) lastVerdict(number uint64) Verdict {
 	list := d.verdicts[number]
 	if len(list) == 0 {
 		return nil
@@ -65,78 +65,78 @@
 	return list[len(list)-1]
 }
 
-// placedAt returns the target of a request, or nothing when it has none.
-func (d *desk) placedAt(number uint64) string {
-	if p, is := d.last(number).(Placed); is {
+// placedOn returns the target of a request, or nothing when it has none.
+func (d *testHome) placedOn(number uint64) string {
+	if p, is := d.lastVerdict(number).(Placed); is {
 		return p.Target
 	}
 	return ""
 }
 
-func (d *desk) done(number uint64, outcome Outcome) {
-	d.home.RunEnded(d.now, RunEnd{ID: RequestID{Number: number}, Target: d.placedAt(number), Outcome: outcome, Duration: 90 * time.Millisecond, Load: &LoadReport{Running: 1, Slots: 3, Pace: 1}})
+func (d *testHome) endRun(number uint64, outcome Outcome) {
+	d.home.RunEnded(d.now, RunEnd{ID: RequestID{Number: number}, Target: d.placedOn(number), Outcome: outcome, Duration: 90 * time.Millisecond, Load: &LoadReport{Running: 1, Slots: 3, Pace: 1}})
 }
 
-var plenty = RetryBudget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
+var ampleBudget = RetryBudget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
 // TestBindsLate offers more requests than there are slots: the rest waits, and goes to the first slot that comes free.
 func TestBindsLate(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, plenty)
+	d := newTestHome(2, ampleBudget)
 	for range 6 {
-		is.True(d.placedAt(d.ask(nil)) != "")
+		is.True(d.placedOn(d.submit(nil)) != "")
 	}
-	waiting := d.ask(nil)
-	is.Equal(d.last(waiting), Queued{})
-	d.done(1, OutcomeAnswered)
-	is.True(d.placedAt(waiting) != "")
+	waiting := d.submit(nil)
+	is.Equal(d.lastVerdict(waiting), Queued{})
+	d.endRun(1, OutcomeAnswered)
+	is.True(d.placedOn(waiting) != "")
 }
 
 // TestAvoidsNoisyTargets lets neighbours slow one target down: requests that have time go elsewhere, or wait for that.
 func TestAvoidsNoisyTargets(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, plenty)
+	d := newTestHome(2, ampleBudget)
 	d.home.RecordProbe(d.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 4})
 	for range 3 {
-		is.Equal(d.placedAt(d.ask(nil)), "t1")
+		is.Equal(d.placedOn(d.submit(nil)), "t1")
 	}
-	is.Equal(d.last(d.ask(nil)), Queued{})
+	is.Equal(d.lastVerdict(d.submit(nil)), Queued{})
 }
 
 // TestWaitsForFreshKnowledge offers a request after a quiet second: it waits for probes, and at most for freshWait.
 func TestWaitsForFreshKnowledge(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(4, plenty)
+	d := newTestHome(4, ampleBudget)
 	d.now += time.Second
-	number := d.ask(nil)
-	is.Equal(d.last(number), Queued{})
+	number := d.submit(nil)
+	is.Equal(d.lastVerdict(number), Queued{})
 	due := d.home.DueProbes(d.now)
-	is.True(len(due) >= askedAtOnce)
+	is.True(len(due) >= targetsProbedAtOnce)
 	for _, p := range due {
 		d.home.RecordProbe(d.now+3*time.Millisecond, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	}
-	is.True(d.placedAt(number) != "")
+	is.True(d.placedOn(number) != "")
 	d.now += time.Second
-	silent := d.ask(nil)
-	d.now += freshWait
+	silent := d.submit(nil)
+	d.now += maxProbeWait
 	d.home.Tick(d.now)
-	is.True(d.placedAt(silent) != "")
+	is.True(d.placedOn(silent) != "")
 }
 
-// TestRanksWaiting lets requests of two ranks wait: the higher one goes first, then the one with more time left.
-func TestRanksWaiting(t *testing.T) {
+// TestOrdersQueue lets requests of two ranks wait: the higher one goes first, then the one with more time left.
+func TestOrdersQueue(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, plenty)
+	d := newTestHome(1, ampleBudget)
 	for range 3 {
-		d.ask(nil)
+		d.submit(nil)
 	}
-	old := d.ask(func(r *Request) { r.Priority = 2 })
+	old := d.submit(func(r *Request) { r.Priority = 2 })
 	d.now += 10 * time.Millisecond
-	young := d.ask(func(r *Request) { r.Priority = 2 })
-	urgent := d.ask(func(r *Request) { r.Priority = 1 })
+	young := d.submit(func(r *Request) { r.Priority = 2 })
+	urgent := d.submit(func(r *Request) { r.Priority = 1 })
 	for i, want := range []uint64{urgent, young, old} {
-		d.done(uint64(i+1), OutcomeAnswered)
-		is.True(d.placedAt(want) != "")
+		d.endRun(uint64(i+1), OutcomeAnswered)
+		is.True(d.placedOn(want) != "")
 	}
 }
 
@@ -144,19 +144,19 @@
 func TestRefusesAtOnce(t *testing.T) {
 	cases := []struct {
 		name   string
-		desk   func() *desk
+		desk   func() *testHome
 		change func(*Request)
 		reason Reason
 	}{
-		{"no targets", func() *desk { return newDesk(0, plenty) }, nil, ReasonNoTargets},
-		{"no time", func() *desk { return newDesk(2, plenty) }, func(r *Request) { r.Deadline = r.Goal - 240*time.Millisecond }, ReasonDeadlineCannotBeMet},
-		{"retry without budget", func() *desk { return newDesk(2, RetryBudget{Window: 10 * time.Second}) }, func(r *Request) { r.Tried = []string{"t0"} }, ReasonRetryBudgetSpent},
+		{"no targets", func() *testHome { return newTestHome(0, ampleBudget) }, nil, ReasonNoTargets},
+		{"no time", func() *testHome { return newTestHome(2, ampleBudget) }, func(r *Request) { r.Deadline = r.Goal - 240*time.Millisecond }, ReasonDeadlineCannotBeMet},
+		{"retry without budget", func() *testHome { return newTestHome(2, RetryBudget{Window: 10 * time.Second}) }, func(r *Request) { r.Tried = []string{"t0"} }, ReasonRetryBudgetSpent},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			d := c.desk()
-			r, refused := d.last(d.ask(c.change)).(Refused)
+			r, refused := d.lastVerdict(d.submit(c.change)).(Refused)
 			is.True(refused)
 			is.Equal(r.Reason, c.reason)
 			is.True(r.RetryAfter > 0)
@@ -164,35 +164,35 @@
 	}
 }
 
-// TestReturnsAreSpread refuses many callers at once: they are told to come back at different times.
-func TestReturnsAreSpread(t *testing.T) {
+// TestRetryDelaysAreSpread refuses many callers at once: they are told to come back at different times.
+func TestRetryDelaysAreSpread(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(0, plenty)
+	d := newTestHome(0, ampleBudget)
 	least, most := time.Hour, time.Duration(0)
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		after := d.last(d.ask(nil)).(Refused).RetryAfter
+		after := d.lastVerdict(d.submit(nil)).(Refused).RetryAfter
 		least, most = min(least, after), max(most, after)
 		seen[after] = true
 	}
 	is.Equal(len(seen), 50)
-	is.True(most-least > time.Duration(0.9*returnSpread*float64(least)))
+	is.True(most-least > time.Duration(0.9*retryDelaySpread*float64(least)))
 }
 
 // TestEjectsWithAFloor breaks runs on every target: at least half of them stay in.
 func TestEjectsWithAFloor(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(4, plenty)
-	d.home.bases["patient"] = 0.09
+	d := newTestHome(4, ampleBudget)
+	d.home.serviceTimes["patient"] = 0.09
 	for range 40 {
-		number := d.ask(func(r *Request) { r.Class, r.Goal, r.Deadline = "patient", d.now+time.Minute, d.now+2*time.Minute })
-		if d.placedAt(number) != "" {
-			d.done(number, OutcomeTimedOut)
+		number := d.submit(func(r *Request) { r.Class, r.Goal, r.Deadline = "patient", d.now+time.Minute, d.now+2*time.Minute })
+		if d.placedOn(number) != "" {
+			d.endRun(number, OutcomeTimedOut)
 		}
 	}
 	sound := 0
 	for _, x := range d.home.targets {
-		if x.sound(d.now) {
+		if x.available(d.now) {
 			sound++
 		}
 	}
@@ -200,19 +200,19 @@
 	is.True(sound < 4)
 }
 
-// TestEjectionsAreTold lets runs at one target fail until it is taken out, and waits until it is back.
-func TestEjectionsAreTold(t *testing.T) {
+// TestEjectionsAreReported lets runs at one target fail until it is taken out, and waits until it is back.
+func TestEjectionsAreReported(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(4, plenty)
+	d := newTestHome(4, ampleBudget)
 	var told []Ejection
 	d.home.config.OnEjection = func(e Ejection) { told = append(told, e) }
 	for range failuresToEject {
-		d.home.byName["t0"].failed(d.now, true)
+		d.home.byName["t0"].recordFailure(d.now, true)
 	}
 	d.home.Tick(d.now)
 	d.home.Tick(d.now)
 	is.Equal(told, []Ejection{{"t0", true, failuresToEject}})
-	d.now += firstEjection
+	d.now += minEjection
 	d.home.Tick(d.now)
 	is.Equal(len(told), 2)
 	is.Equal(told[1].Ejected, false)
@@ -221,33 +221,33 @@
 // TestQuarantine runs a request that breaks each target: it reaches crashesToQuarantine targets and no more.
 func TestQuarantine(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(8, plenty)
+	d := newTestHome(8, ampleBudget)
 	placed := 0
 	for range 10 {
-		number := d.ask(func(r *Request) { r.Fingerprint = 7 })
-		if d.placedAt(number) != "" {
+		number := d.submit(func(r *Request) { r.Fingerprint = 7 })
+		if d.placedOn(number) != "" {
 			placed++
-			d.done(number, OutcomeConnectionBroke)
+			d.endRun(number, OutcomeConnectionBroke)
 			continue
 		}
-		is.Equal(d.last(number).(Refused).Reason, ReasonQuarantined)
+		is.Equal(d.lastVerdict(number).(Refused).Reason, ReasonQuarantined)
 	}
 	is.Equal(placed, crashesToQuarantine)
-	is.True(d.placedAt(d.ask(func(r *Request) { r.Fingerprint = 8 })) != "")
+	is.True(d.placedOn(d.submit(func(r *Request) { r.Fingerprint = 8 })) != "")
 }
 
 // TestLostAnswersFreeSlots loses answers: a target that reports free slots gets requests again at once.
 func TestLostAnswersFreeSlots(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, plenty)
+	d := newTestHome(1, ampleBudget)
 	for range 3 {
-		d.ask(nil)
+		d.submit(nil)
 	}
-	waiting := d.ask(nil)
+	waiting := d.submit(nil)
 	d.now += 120 * time.Millisecond
-	is.Equal(d.last(waiting), Queued{})
+	is.Equal(d.lastVerdict(waiting), Queued{})
 	d.home.RecordProbe(d.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
-	is.True(d.placedAt(waiting) != "")
+	is.True(d.placedOn(waiting) != "")
 }
 
 // TestHedges lets a run of a repeatable request grow late: a second one starts elsewhere, once, and never for one that
@@ -256,13 +256,13 @@
 	for _, repeatable := range []bool{true, false} {
 		t.Run(fmt.Sprint(repeatable), func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(3, plenty)
-			number := d.ask(func(r *Request) { r.Repeatable = repeatable })
-			first := d.placedAt(number)
+			d := newTestHome(3, ampleBudget)
+			number := d.submit(func(r *Request) { r.Repeatable = repeatable })
+			first := d.placedOn(number)
 			hedges := 0
 			for range 100 {
 				d.now += 10 * time.Millisecond
-				d.pace(1)
+				d.reportPace(1)
 				d.home.Tick(d.now)
 			}
 			for _, v := range d.verdicts[number] {
@@ -281,51 +281,51 @@
 // TestSilentTargetIsLeftOut leaves probes without an answer.
 func TestSilentTargetIsLeftOut(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, plenty)
-	d.ask(nil)
-	d.now += probeEvery
+	d := newTestHome(2, ampleBudget)
+	d.submit(nil)
+	d.now += probeInterval
 	is.Equal(len(d.home.DueProbes(d.now)), 2)
 	d.home.RecordProbe(d.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
-	d.now += silentAfter + time.Millisecond
+	d.now += probeTimeout + time.Millisecond
 	d.home.Tick(d.now)
 	d.home.RecordProbe(d.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	for range 3 {
-		is.Equal(d.placedAt(d.ask(nil)), "t1")
+		is.Equal(d.placedOn(d.submit(nil)), "t1")
 	}
 }
 
 // TestWarmingEnds sets the same targets again and again: one that warms up does so for its time only.
 func TestWarmingEnds(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, plenty)
+	d := newTestHome(1, ampleBudget)
 	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
 	for range 20 {
 		d.home.SetTargets(d.now, list)
 		d.now += 100 * time.Millisecond
 	}
-	is.True(d.home.byName["new"].warmUntil < d.now)
+	is.True(d.home.byName["new"].warmUpUntil < d.now)
 }
 
 // TestIdleServiceIsNotProbed leaves a service alone: no probes go out until the next request, which finds all targets in.
 func TestIdleServiceIsNotProbed(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(3, plenty)
-	number := d.ask(nil)
-	d.done(number, OutcomeUnreachable)
+	d := newTestHome(3, ampleBudget)
+	number := d.submit(nil)
+	d.endRun(number, OutcomeUnreachable)
 	for range 100 {
 		d.now += 100 * time.Millisecond
 		d.home.Tick(d.now)
 		for _, p := range d.home.DueProbes(d.now) {
-			d.home.RecordProbe(d.now, p.Target, ProbeNoAnswer, nil)
+			d.home.RecordProbe(d.now, p.Target, ProbeNoResponse, nil)
 		}
 	}
-	before := d.now - busyFor
+	before := d.now - busyPeriod
 	for _, x := range d.home.targets {
-		is.True(x.probe.asked < before)
+		is.True(x.probe.sentAt < before)
 		is.True(x.probe.down)
 	}
-	again := d.ask(nil)
-	is.Equal(d.last(again), Queued{}) // it waits for fresh knowledge
+	again := d.submit(nil)
+	is.Equal(d.lastVerdict(again), Queued{}) // it waits for fresh knowledge
 	is.Equal(len(d.home.DueProbes(d.now)), 3)
 }
 
@@ -377,11 +377,11 @@
 // TestHomeForgets ends conversations and runs in any order: nothing is held in the end.
 func TestHomeForgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDesk(3, plenty)
+		d := newTestHome(3, ampleBudget)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				d.ask(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
+				d.submit(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
 			case 2:
 				d.home.EndStream(d.now, uint64(rapid.IntRange(1, 3).Draw(t, "leaving")))
 			case 3:
@@ -399,25 +399,25 @@
 			t.Fatalf("%d requests are still known", n)
 		}
 		for _, x := range d.home.targets {
-			if len(x.holds) > 0 {
-				t.Fatalf("target %s still holds %d runs", x.Name, len(x.holds))
+			if len(x.runs) > 0 {
+				t.Fatalf("target %s still holds %d runs", x.Name, len(x.runs))
 			}
 		}
 	})
 }
 
-// TestStandInsProbeLittle replays a fleet that has lost touch with a service's home: a hundred hosts decide alone, each on a
+// TestFallbackHomesLimitProbes replays a fleet that has lost touch with a service's home: a hundred hosts decide alone, each on a
 // few requests. Together they must keep to the probes of one home, 20 a target and second.
-func TestStandInsProbeLittle(t *testing.T) {
+func TestFallbackHomesLimitProbes(t *testing.T) {
 	is := is.New(t)
 	const hosts, targets, seconds, perHost = 100, 20, 10, 1
 	probes := 0
 	for range hosts {
-		d := newDesk(targets, plenty)
+		d := newTestHome(targets, ampleBudget)
 		for tick := range seconds * 100 {
-			d.now += tickSlack
+			d.now += tickInterval
 			if tick%(100/perHost) == 0 {
-				d.ask(func(r *Request) { r.Goal, r.Deadline = d.now+time.Second, d.now+time.Second })
+				d.submit(func(r *Request) { r.Goal, r.Deadline = d.now+time.Second, d.now+time.Second })
 			}
 			d.home.Tick(d.now)
 			for _, p := range d.home.DueProbes(d.now) {
@@ -436,10 +436,10 @@
 // twice as slow as usual: a request that can meet its goal there must not wait while their slots stand idle.
 func TestWarmingTargetsAreUsed(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, plenty)
-	d.done(d.ask(nil), OutcomeAnswered) // the class takes 90 ms
+	d := newTestHome(2, ampleBudget)
+	d.endRun(d.submit(nil), OutcomeAnswered) // the class takes 90 ms
 	for range 6 {
-		is.True(d.placedAt(d.ask(nil)) != "")
+		is.True(d.placedOn(d.submit(nil)) != "")
 	}
 	list := []Target{{Name: "new", Address: "10.0.0.2:80", Domain: "a", Slots: 3, WarmUpLeft: 3 * time.Second}}
 	for _, x := range d.home.targets {
@@ -447,18 +447,18 @@
 	}
 	d.home.SetTargets(d.now, list)
 	d.home.RecordProbe(d.now, "new", ProbeHealthy, &LoadReport{Slots: 3, Pace: 2})
-	is.Equal(d.placedAt(d.ask(nil)), "new") // 180 ms of 250
+	is.Equal(d.placedOn(d.submit(nil)), "new") // 180 ms of 250
 }
 
 // TestFormerHomeStillProbes lets another host become the home that all ask first: the former one has not spent its probes.
 func TestFormerHomeStillProbes(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(4, plenty)
+	d := newTestHome(4, ampleBudget)
 	probe := func(rounds int) (sent int) {
 		for round := range rounds {
-			d.now += probeEvery
+			d.now += probeInterval
 			if round%4 == 0 {
-				d.done(d.ask(nil), OutcomeAnswered)
+				d.endRun(d.submit(nil), OutcomeAnswered)
 			}
 			for _, p := range d.home.DueProbes(d.now) {
 				sent++
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -7,36 +7,36 @@
 
 // Times and counts of probing.
 const (
-	// probeEvery is how often each target is asked while its service is busy, so that one that went silent is noticed.
-	probeEvery = 250 * time.Millisecond
-	// queuedProbeEvery is how often targets with free slots are asked while requests wait.
-	queuedProbeEvery = 25 * time.Millisecond
-	// busyFor is how long after a request a service counts as busy. An idle one isn't probed: many hosts may once have
+	// probeInterval is how often each target is asked while its service is busy, so that one that went silent is noticed.
+	probeInterval = 250 * time.Millisecond
+	// queuedProbeInterval is how often targets with free slots are asked while requests wait.
+	queuedProbeInterval = 25 * time.Millisecond
+	// busyPeriod is how long after a request a service counts as busy. An idle one isn't probed: many hosts may once have
 	// decided alone, and each would go on for ever.
-	busyFor = 2 * time.Second
-	// silentAfter is how long a probe may take before its target counts as down.
-	silentAfter = 150 * time.Millisecond
-	// downProbeEvery is how often a target that is down is asked.
-	downProbeEvery = 100 * time.Millisecond
-	// freshFor is how old knowledge of a target's pace may be for a placement without asking: a fraction of the few
+	busyPeriod = 2 * time.Second
+	// probeTimeout is how long a probe may take before its target counts as down.
+	probeTimeout = 150 * time.Millisecond
+	// downProbeInterval is how often a target that is down is asked.
+	downProbeInterval = 100 * time.Millisecond
+	// maxPaceAge is how old knowledge of a target's pace may be for a placement without asking: a fraction of the few
 	// hundred milliseconds in which neighbours' load shifts.
-	freshFor = 25 * time.Millisecond
-	// freshWait is how long a request waits for probes: a round trip and the time of two wake-ups.
-	freshWait = 8 * time.Millisecond
+	maxPaceAge = 25 * time.Millisecond
+	// maxProbeWait is how long a request waits for probes: a round trip and the time of two wake-ups.
+	maxProbeWait = 8 * time.Millisecond
 	// probeRate is the most probes that one target gets a second in the long run, and probeBurst how many it may get at once.
 	probeRate  = 18.0
 	probeBurst = 10.0
-	// probesPerRequest is how many probes a stand-in may send for each request that it decides on, so that all stand-ins
+	// fallbackProbesPerRequest is how many probes a stand-in may send for each request that it decides on, so that all stand-ins
 	// together stay within the probes of one home.
-	probesPerRequest = 4.0
-	// askedAtOnce is how many targets are probed for a request that finds nothing fresh.
-	askedAtOnce = 3
+	fallbackProbesPerRequest = 4.0
+	// targetsProbedAtOnce is how many targets are probed for a request that finds nothing fresh.
+	targetsProbedAtOnce = 3
 )
 
-// probe is the state of the health probes of one target.
-type probe struct {
-	// asked is when the last probe was sent; pending is set while it has no answer.
-	asked   time.Duration
+// probeState is the state of the health probes of one target.
+type probeState struct {
+	// sentAt is when the last probe was sent; pending is set while it has no answer.
+	sentAt  time.Duration
 	pending bool
 	// wanted is set when a request waits for fresh knowledge of the target.
 	wanted bool
@@ -47,8 +47,8 @@
 	down bool
 }
 
-// take spends the credit for one probe and reports whether there was any.
-func (p *probe) take(now time.Duration) bool {
+// spend spends the credit for one probe and reports whether there was any.
+func (p *probeState) spend(now time.Duration) bool {
 	p.credit = min(probeBurst, p.credit+probeRate*(now-p.creditAt).Seconds())
 	p.creditAt = now
 	if p.credit < 1 {
@@ -67,8 +67,8 @@
 	ProbeHealthy ProbeResult = iota
 	// ProbeUnhealthy means that the target answered and calls itself ill.
 	ProbeUnhealthy
-	// ProbeNoAnswer means that the target gave no answer.
-	ProbeNoAnswer
+	// ProbeNoResponse means that the target gave no answer.
+	ProbeNoResponse
 	// ProbeOtherServer means that another server answered at the target's address.
 	ProbeOtherServer
 )
@@ -80,13 +80,13 @@
 		if !h.primary && h.probeCredit < 1 {
 			break
 		}
-		if t.probe.pending || t.Draining || !t.probe.wanted && !h.probeDue(now, t) || !t.probe.take(now) {
+		if t.probe.pending || t.Draining || !t.probe.wanted && !h.probeDue(now, t) || !t.probe.spend(now) {
 			continue
 		}
 		if !h.primary {
 			h.probeCredit--
 		}
-		t.probe.asked, t.probe.pending, t.probe.wanted = now, true, false
+		t.probe.sentAt, t.probe.pending, t.probe.wanted = now, true, false
 		due = append(due, Placed{Target: t.Name, Address: t.Address})
 	}
 	return due
@@ -96,30 +96,30 @@
 // work when hosts lose touch with the home: it begins with one probe of each target and earns more by requests.
 func (h *Home) SetPrimary(primary bool) { h.primary = primary }
 
-// earnProbes gives a stand-in the probes for one more request.
-func (h *Home) earnProbes() {
-	h.probeCredit = min(h.probeCredit+probesPerRequest, 2*float64(len(h.targets)))
+// addProbeCredit gives a stand-in the probes for one more request.
+func (h *Home) addProbeCredit() {
+	h.probeCredit = min(h.probeCredit+fallbackProbesPerRequest, 2*float64(len(h.targets)))
 }
 
 // probeDue reports whether it is time to look at a target again.
-func (h *Home) probeDue(now time.Duration, t *target) bool {
+func (h *Home) probeDue(now time.Duration, t *targetState) bool {
 	switch {
 	case !h.busy(now):
 		return false
 	case t.probe.down:
-		return now-t.probe.asked >= downProbeEvery
-	case len(h.queue) > 0 && t.sound(now) && t.load(now) < t.Slots:
+		return now-t.probe.sentAt >= downProbeInterval
+	case len(h.queue) > 0 && t.available(now) && t.load(now) < t.Slots:
 		// Requests wait although the target has room: it was slow when last seen.
-		return now-max(t.probe.asked, t.pacedAt) >= queuedProbeEvery
+		return now-max(t.probe.sentAt, t.paceAt) >= queuedProbeInterval
 	}
-	return now-max(t.probe.asked, t.pacedAt) >= probeEvery
+	return now-max(t.probe.sentAt, t.paceAt) >= probeInterval
 }
 
 // busy reports whether the service had requests lately.
-func (h *Home) busy(now time.Duration) bool { return now-h.busyAt <= busyFor }
+func (h *Home) busy(now time.Duration) bool { return now-h.lastRequestAt <= busyPeriod }
 
-// wake begins to look at the targets of a service that was idle: what was known of them then is no reason to leave any out.
-func (h *Home) wake(now time.Duration) {
+// resumeProbing begins to look at the targets of a service that was idle: what was known of them then is no reason to leave any out.
+func (h *Home) resumeProbing(now time.Duration) {
 	if h.busy(now) {
 		return
 	}
@@ -128,20 +128,20 @@
 	}
 }
 
-// awaitsProbe reports whether a request should wait for a probe of the target that looks best, because what is known
+// shouldAwaitProbe reports whether a request should wait for a probe of the target that looks best, because what is known
 // of it is old. It asks for probes of the few best targets.
-func (h *Home) awaitsProbe(now time.Duration, r *Request, best *target) bool {
-	if now-r.asked >= freshWait || now-best.pacedAt < freshFor || best.probe.asked >= r.asked && !best.probe.pending {
+func (h *Home) shouldAwaitProbe(now time.Duration, r *Request, best *targetState) bool {
+	if now-r.submittedAt >= maxProbeWait || now-best.paceAt < maxPaceAge || best.probe.sentAt >= r.submittedAt && !best.probe.pending {
 		return false
 	}
 	skip := slices.Clone(r.Tried)
-	for range askedAtOnce {
-		t, _ := h.pickBut(now, r, skip)
+	for range targetsProbedAtOnce {
+		t, _ := h.pickTarget(now, r, skip)
 		if t == nil {
 			break
 		}
 		skip = append(skip, t.Name)
-		t.probe.wanted = !t.probe.pending && now-t.pacedAt >= freshFor
+		t.probe.wanted = !t.probe.pending && now-t.paceAt >= maxPaceAge
 	}
 	return true
 }
@@ -156,22 +156,22 @@
 	switch health {
 	case ProbeHealthy:
 		t.probe.down = false
-		t.misplaced = false
-	case ProbeUnhealthy, ProbeNoAnswer:
+		t.otherServer = false
+	case ProbeUnhealthy, ProbeNoResponse:
 		t.probe.down = true
 	case ProbeOtherServer:
-		t.misplaced = true
+		t.otherServer = true
 	}
 	if load != nil && health != ProbeOtherServer {
-		h.reported(now, t, *load)
+		h.recordLoad(now, t, *load)
 	}
 	h.Dispatch(now)
 }
 
-// checkSilence marks targets whose probes have been without an answer for too long.
-func (h *Home) checkSilence(now time.Duration) {
+// checkProbeTimeouts marks targets whose probes have been without an answer for too long.
+func (h *Home) checkProbeTimeouts(now time.Duration) {
 	for _, t := range h.targets {
-		if t.probe.pending && now-t.probe.asked > silentAfter {
+		if t.probe.pending && now-t.probe.sentAt > probeTimeout {
 			t.probe.down = true
 		}
 	}
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -34,10 +34,10 @@
 	// Domain is the failure domain of the host that will send the request.
 	Domain string
 
-	holds   []*hold
-	asked   time.Duration
-	hedged  bool
-	waiting bool
+	runs        []*run
+	submittedAt time.Duration
+	hedged      bool
+	queued      bool
 }
 
 // Verdict is what the home decided: Placed, Queued, Refused or Hedge.
@@ -116,19 +116,19 @@
 	Pace float64
 }
 
-// hold is one run on a target.
-type hold struct {
-	request *Request
-	target  *target
-	started time.Duration
+// run is one run on a target.
+type run struct {
+	request   *Request
+	target    *targetState
+	startedAt time.Duration
 	// expected is the time that the run was expected to take.
 	expected time.Duration
 	// slowdown is the factor over the class's base time that was expected.
 	slowdown float64
-	// crowded is set when the run took one of the target's last slots.
-	crowded bool
+	// nearlyFull is set when the run took one of the target's last slots.
+	nearlyFull bool
 }
 
-func (r *Request) drop(h *hold) {
-	r.holds = slices.DeleteFunc(r.holds, func(other *hold) bool { return other == h })
+func (r *Request) removeRun(h *run) {
+	r.runs = slices.DeleteFunc(r.runs, func(other *run) bool { return other == h })
 }
--- /dev/null
+++ b/internal/placement/retry_after.go
@@ -0,0 +1,40 @@
+package placement
+
+import (
+	"math"
+	"time"
+)
+
+// Delays after which refused callers are told to retry.
+const (
+	minRetryDelay = 50 * time.Millisecond
+	// noTargetsRetryDelay applies while the service has no available target.
+	noTargetsRetryDelay = 300 * time.Millisecond
+	// quarantineRetryDelay applies to requests that crash targets.
+	quarantineRetryDelay = 5 * time.Second
+	// retryDelaySpread is the largest jitter, relative to the delay.
+	retryDelaySpread = 0.5
+)
+
+// goldenRatio is the step of a low-discrepancy sequence: its multiples modulo 1 cover the unit interval evenly, however
+// many there are.
+var goldenRatio = (math.Sqrt(5) - 1) / 2
+
+// retryAfter returns the delay after which a refused caller should retry. It is about the time in which the current queue
+// is served, plus jitter, so that callers refused together do not retry together.
+func (h *Home) retryAfter(now time.Duration, r *Request, reason Reason) time.Duration {
+	h.refusals++
+	_, fraction := math.Modf(float64(h.refusals) * goldenRatio)
+	delay := minRetryDelay
+	switch reason {
+	case ReasonQuarantined:
+		return quarantineRetryDelay
+	case ReasonNoTargets:
+		delay = noTargetsRetryDelay
+	case ReasonDeadlineCannotBeMet, ReasonRetryBudgetSpent:
+		if slots := h.availableSlots(now); slots > 0 {
+			delay = max(delay, time.Duration(float64(len(h.queue)+1)/float64(slots)*h.usualPace*float64(h.serviceTime(r))))
+		}
+	}
+	return delay + time.Duration(retryDelaySpread*fraction*float64(delay))
+}
--- /dev/null
+++ b/internal/placement/retry_budget.go
@@ -0,0 +1,67 @@
+package placement
+
+import "time"
+
+// RetryBudget limits extra attempts, that is, retries and hedges, to a share of the requests of a service in any sliding
+// window. It prevents retry storms: a service that fails or refuses requests must not get more load because of that.
+type RetryBudget struct {
+	// Ratio is the maximum number of extra attempts per request, and Slack how many more are allowed per window.
+	Ratio  float64
+	Slack  float64
+	Window time.Duration
+
+	buckets [budgetBuckets + 1]budgetBucket
+}
+
+// budgetBuckets is the number of buckets that a window is counted in. One more bucket is kept, because a sliding window
+// overlaps with one bucket more.
+const budgetBuckets = 20
+
+type budgetBucket struct {
+	index         int64
+	requests      int
+	extraAttempts int
+}
+
+func (b *RetryBudget) bucket(now time.Duration) *budgetBucket {
+	index := int64(now / (b.Window / budgetBuckets))
+	s := &b.buckets[index%int64(len(b.buckets))]
+	if s.index != index {
+		*s = budgetBucket{index: index}
+	}
+	return s
+}
+
+// AddRequest counts the first attempt of a request.
+func (b *RetryBudget) AddRequest(now time.Duration) { b.bucket(now).requests++ }
+
+// sums returns the extra attempts of the window that ends now, and the requests of only its second half. A window that
+// ends later may hold the same extra attempts but fewer of the requests before them. Requests of the last half window
+// are in that later window, or in the one that ends half a window before it, as long as the extra attempts count.
+func (b *RetryBudget) sums(now time.Duration) (requests, extraAttempts int) {
+	current := b.bucket(now).index
+	for _, s := range b.buckets {
+		if s.index > current-budgetBuckets/2 {
+			requests += s.requests
+		}
+		if s.index > current-int64(len(b.buckets)) {
+			extraAttempts += s.extraAttempts
+		}
+	}
+	return requests, extraAttempts
+}
+
+// Remaining returns how many extra attempts the budget still allows; it may be negative.
+func (b *RetryBudget) Remaining(now time.Duration) float64 {
+	requests, extraAttempts := b.sums(now)
+	return b.Ratio*float64(requests) + b.Slack - float64(extraAttempts)
+}
+
+// Spend takes one extra attempt from the budget. It reports false and takes nothing if less than reserve would remain.
+func (b *RetryBudget) Spend(now time.Duration, reserve float64) bool {
+	if b.Remaining(now) < 1+reserve {
+		return false
+	}
+	b.bucket(now).extraAttempts++
+	return true
+}
--- /dev/null
+++ b/internal/placement/run_end.go
@@ -0,0 +1,196 @@
+package placement
+
+import "time"
+
+// RunEnd reports the end of one run.
+type RunEnd struct {
+	ID      RequestID
+	Target  string
+	Outcome Outcome
+	// Duration is the time from sending the request to its response.
+	Duration time.Duration
+	// Bytes is the size of the response.
+	Bytes int
+	// Load is the load report that came with the response, or nil.
+	Load *LoadReport
+}
+
+// RunEnded records the end of a run, frees its slot and dispatches queued requests.
+func (h *Home) RunEnded(now time.Duration, d RunEnd) {
+	r := h.requests[d.ID]
+	t := h.byName[d.Target]
+	if t != nil && d.Load != nil && d.Outcome != OutcomeOtherServer {
+		load := *d.Load
+		if d.Outcome != OutcomeNotRun {
+			// The load report in a response still counts the run that the response ends.
+			load.Running = max(0, load.Running-1)
+		}
+		h.recordLoad(now, t, load)
+	}
+	var ended *run
+	if r != nil {
+		for _, candidate := range r.runs {
+			if candidate.target.Name == d.Target {
+				ended = candidate
+			}
+		}
+	}
+	if ended != nil {
+		ended.target.removeRun(ended)
+		r.removeRun(ended)
+		h.recordOutcome(now, r, ended, d)
+		if len(r.runs) == 0 && !r.queued {
+			delete(h.requests, r.ID)
+		}
+	}
+	h.Dispatch(now)
+}
+
+// recordOutcome updates the state of the target and the statistics of the service from the end of a run.
+func (h *Home) recordOutcome(now time.Duration, r *Request, ended *run, d RunEnd) {
+	t := ended.target
+	switch d.Outcome {
+	case OutcomeAnswered:
+		t.recordSuccess(now)
+		h.crashes.forget(r.Fingerprint)
+		h.recordDuration(r, ended, d.Duration)
+		h.responseBytes[r.Class] += (float64(d.Bytes) - h.responseBytes[r.Class]) * responseBytesGain
+	case OutcomeFailed, OutcomeTimedOut:
+		t.recordFailure(now, h.mayEject(now))
+	case OutcomeConnectionBroke:
+		t.recordFailure(now, h.mayEject(now))
+		h.crashes.connectionBroke(now, r.Fingerprint, t.Name)
+	case OutcomeNotRun:
+		// The target is full: it has more requests than this home has placed there.
+		t.reportedLoad, t.loadAt = max(t.Slots, t.reportedLoad), now
+		t.failureRate = max(t.failureRate, failureGain)
+	case OutcomeUnreachable:
+		t.recordFailure(now, h.mayEject(now))
+		t.probe.down = true
+	case OutcomeOtherServer:
+		t.otherServer = true
+	case OutcomeCanceled:
+	}
+}
+
+// recordDuration updates the service time of the request's class from a run, or, if the run took one of the target's last
+// slots, the slowdown of nearly full targets.
+func (h *Home) recordDuration(r *Request, ended *run, duration time.Duration) {
+	seconds := duration.Seconds() / max(minFactor, ended.slowdown)
+	old := h.serviceTimes[r.Class]
+	if old == 0 {
+		h.serviceTimes[r.Class] = seconds
+		return
+	}
+	if ended.nearlyFull {
+		ratio := min(maxFactor, max(minFactor, seconds*h.nearlyFullSlowdown/old))
+		h.nearlyFullSlowdown += (ratio - h.nearlyFullSlowdown) * nearlyFullGain
+		return
+	}
+	h.serviceTimes[r.Class] = old + (min(seconds, maxFactor*old)-old)*serviceTimeGain
+}
+
+// recordLoad updates the state of a target and the usual pace of all targets from a load report.
+func (h *Home) recordLoad(now time.Duration, t *targetState, l LoadReport) {
+	t.recordLoad(now, l)
+	if l.Pace > 0 {
+		h.usualPace += (min(maxFactor, max(minFactor, l.Pace)) - h.usualPace) * paceGain
+	}
+}
+
+// mayEject reports whether one more target may be ejected: at least half of the targets must stay available.
+func (h *Home) mayEject(now time.Duration) bool {
+	available := 0
+	for _, t := range h.targets {
+		if t.available(now) {
+			available++
+		}
+	}
+	return 2*(available-1) >= len(h.targets)
+}
+
+// CancelQueued removes a request from the queue. Runs of the request continue until RunEnded.
+func (h *Home) CancelQueued(id RequestID) {
+	r := h.requests[id]
+	if r == nil {
+		return
+	}
+	h.removeFromQueue(r)
+	if len(r.runs) == 0 {
+		delete(h.requests, id)
+	}
+}
+
+func (h *Home) removeFromQueue(r *Request) {
+	if !r.queued {
+		return
+	}
+	r.queued = false
+	for i, other := range h.queue {
+		if other == r {
+			h.queue = append(h.queue[:i], h.queue[i+1:]...)
+			return
+		}
+	}
+}
+
+// EndStream removes all requests and runs of a placement stream that has ended.
+func (h *Home) EndStream(now time.Duration, stream uint64) {
+	for id, r := range h.requests {
+		if id.Stream != stream {
+			continue
+		}
+		h.removeFromQueue(r)
+		h.removeRequest(r)
+	}
+	h.Dispatch(now)
+}
+
+// removeRequest removes a request and frees the slots of its runs.
+func (h *Home) removeRequest(r *Request) {
+	for _, active := range r.runs {
+		active.target.removeRun(active)
+	}
+	r.runs = nil
+	delete(h.requests, r.ID)
+}
+
+// runEndTimeout is how long after the deadline of its request a run is removed if its end is not reported.
+const runEndTimeout = time.Second
+
+// Tick handles timeouts, dispatches queued requests and starts hedges. It must be called every few milliseconds while the
+// home has requests, and reports whether it still has any.
+func (h *Home) Tick(now time.Duration) bool {
+	h.checkProbeTimeouts(now)
+	h.reportEjections(now)
+	for _, r := range h.requests {
+		if !r.queued && now > r.Deadline+runEndTimeout {
+			h.removeRequest(r)
+		}
+	}
+	h.Dispatch(now)
+	h.startHedges(now)
+	return len(h.requests) > 0
+}
+
+// reportEjections calls OnEjection for each target that was ejected, or whose ejection ended, since the last call.
+func (h *Home) reportEjections(now time.Duration) {
+	for _, t := range h.targets {
+		if ejected := now < t.ejectedUntil; ejected != t.ejectionReported {
+			t.ejectionReported = ejected
+			if h.config.OnEjection != nil {
+				h.config.OnEjection(Ejection{t.Name, ejected, t.consecutiveFailures})
+			}
+		}
+	}
+}
+
+// AddQueuedStreams adds to a set the placement streams that have requests in the queue.
+func (h *Home) AddQueuedStreams(set map[uint64]bool) {
+	for _, r := range h.queue {
+		set[r.ID.Stream] = true
+	}
+}
+
+// QueueLength returns the number of queued requests.
+func (h *Home) QueueLength() int { return len(h.queue) }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -8,27 +8,27 @@
 
 // Horizons and weights of what is known of a target.
 const (
-	// paceHorizon is how long a reported pace stays telling: neighbours' load shifts within a few hundred milliseconds.
-	paceHorizon = 300 * time.Millisecond
-	// loadHorizon is how long a reported load counts; after it only own runs do.
-	loadHorizon = 100 * time.Millisecond
-	// travelTime is how long a request may be on its way to a target that does not count it yet.
-	travelTime = 8 * time.Millisecond
-	// failureHorizon is how long a failure makes a target less attractive.
-	failureHorizon = 3 * time.Second
+	// paceDecayTime is how long a reported pace stays telling: neighbours' load shifts within a few hundred milliseconds.
+	paceDecayTime = 300 * time.Millisecond
+	// maxLoadAge is how long a reported load counts; after it only own runs do.
+	maxLoadAge = 100 * time.Millisecond
+	// transitTime is how long a request may be on its way to a target that does not count it yet.
+	transitTime = 8 * time.Millisecond
+	// failureDecayTime is how long a failure makes a target less attractive.
+	failureDecayTime = 3 * time.Second
 	// failureGain is the weight of one outcome in the moving share of failures.
 	failureGain = 0.25
 	// failurePenalty is how much longer than usual a run is taken to last at a target where every run fails.
 	failurePenalty = 6.0
-	// warmingSlowdown is how much slower a target is taken to be right after its start, as long as it doesn't say.
-	warmingSlowdown = 2.0
+	// warmUpSlowdown is how much slower a target is taken to be right after its start, as long as it doesn't say.
+	warmUpSlowdown = 2.0
 	// overdueRatio is the age of a run, in expected times, from which its target looks stuck.
 	overdueRatio = 2.0
-	// crowdedShare is the part of a target's slots beyond which one more run may slow it down.
-	crowdedShare = 0.8
+	// nearlyFullShare is the part of a target's slots beyond which one more run may slow it down.
+	nearlyFullShare = 0.8
 	// longestEjection and firstEjection bound how long a failing target is left out.
-	firstEjection   = 500 * time.Millisecond
-	longestEjection = 8 * time.Second
+	minEjection = 500 * time.Millisecond
+	maxEjection = 8 * time.Second
 	// failuresToEject is how many failures in a row take a target out.
 	failuresToEject = 3
 )
@@ -48,33 +48,33 @@
 	Incarnation int64
 }
 
-// target is what the home knows of one target.
-type target struct {
+// targetState is what the home knows of one target.
+type targetState struct {
 	Target
-	warmUntil time.Duration
-	holds     []*hold
+	warmUpUntil time.Duration
+	runs        []*run
 	// pace is the last one reported, at pacedAt.
-	pace    float64
-	pacedAt time.Duration
-	// seen is how many requests the target held by its last report, at seenAt.
-	seen   int
-	seenAt time.Duration
-	// failures is the moving share of runs that failed, last changed at failedAt.
-	failures float64
-	failedAt time.Duration
-	inARow   int
+	pace   float64
+	paceAt time.Duration
+	// reportedLoad is how many requests the target held by its last report, at seenAt.
+	reportedLoad int
+	loadAt       time.Duration
+	// failureRate is the moving share of runs that failed, last changed at failedAt.
+	failureRate         float64
+	failureRateAt       time.Duration
+	consecutiveFailures int
 	// answeredAt is when a run last ended with an answer.
 	answeredAt   time.Duration
 	ejectedUntil time.Duration
 	ejections    int
-	// out is whether the target was ejected when that was last told.
-	out       bool
-	probe     probe
-	misplaced bool
+	// ejectionReported is whether the target was ejected when that was last told.
+	ejectionReported bool
+	probe            probeState
+	otherServer      bool
 }
 
-// fade returns how much knowledge of an age still counts, from 1 down to 0.
-func fade(age, horizon time.Duration) float64 {
+// decay returns how much knowledge of an age still counts, from 1 down to 0.
+func decay(age, horizon time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
@@ -83,52 +83,52 @@
 
 // load returns how many requests the target holds, whoever sent them. A fresh report goes before own counts: runs whose
 // answers were lost hold no slot any more.
-func (t *target) load(now time.Duration) int {
-	if now-t.seenAt > loadHorizon {
-		return len(t.holds)
+func (t *targetState) load(now time.Duration) int {
+	if now-t.loadAt > maxLoadAge {
+		return len(t.runs)
 	}
-	load := t.seen
-	for _, h := range t.holds {
-		if h.started > t.seenAt-travelTime {
+	load := t.reportedLoad
+	for _, h := range t.runs {
+		if h.startedAt > t.loadAt-transitTime {
 			load++
 		}
 	}
 	return load
 }
 
-// usable reports whether the target may get requests at all.
-func (t *target) usable() bool { return !t.Draining && !t.misplaced }
+// inService reports whether the target may get requests at all.
+func (t *targetState) inService() bool { return !t.Draining && !t.otherServer }
 
-// sound reports whether nothing speaks against the target now.
-func (t *target) sound(now time.Duration) bool {
-	return t.usable() && now >= t.ejectedUntil && !t.probe.down
+// available reports whether nothing speaks against the target now.
+func (t *targetState) available(now time.Duration) bool {
+	return t.inService() && now >= t.ejectedUntil && !t.probe.down
 }
 
 // slowdown returns how much longer than the base time a run that starts now should take.
-func (t *target) slowdown(now time.Duration, usualPace, crowding float64) (factor float64, crowded bool) {
-	known := fade(now-t.pacedAt, paceHorizon)
+func (t *targetState) slowdown(now time.Duration, usualPace, crowding float64) (factor float64, crowded bool) {
+	known := decay(now-t.paceAt, paceDecayTime)
 	if t.pace == 0 {
 		known = 0
 	}
 	unknown := usualPace
-	if now < t.warmUntil {
+	if now < t.warmUpUntil {
 		// A report shows the pace as it is, warming up included.
-		unknown *= warmingSlowdown
+		unknown *= warmUpSlowdown
 	}
 	factor = t.pace*known + unknown*(1-known)
-	crowded = float64(t.load(now)+1) > crowdedShare*float64(t.Slots)
+	crowded = float64(t.load(now)+1) > nearlyFullShare*float64(t.Slots)
 	if crowded {
 		factor *= crowding
 	}
-	factor *= 1 + failurePenalty*t.failures*fade(now-t.failedAt, failureHorizon)
-	return factor * t.stuck(now), crowded
+	factor *= 1 + failurePenalty*t.failureRate*decay(now-t.failureRateAt, failureDecayTime)
+	return factor * t.overdueFactor(now), crowded
 }
 
-// stuck returns a factor above 1 when runs on the target are overdue and none has ended since.
-func (t *target) stuck(now time.Duration) float64 {
+// overdueFactor returns a factor above 1 when runs on the target are overdue and none has ended since.
+func (t *targetState) overdueFactor(now time.Duration) float64 {
 	worst := 1.0
-	for _, h := range t.holds {
-		age := now - max(h.started, t.answeredAt)
+	for _, h := range t.runs {
+		age := now - max(h.startedAt, t.answeredAt)
 		if ratio := float64(age) / float64(max(time.Millisecond, h.expected)); ratio > overdueRatio {
 			worst = max(worst, ratio)
 		}
@@ -136,38 +136,38 @@
 	return worst
 }
 
-// report takes in the target's own word.
-func (t *target) report(now time.Duration, l LoadReport) {
+// recordLoad takes in the target's own word.
+func (t *targetState) recordLoad(now time.Duration, l LoadReport) {
 	if l.Pace > 0 {
-		t.pace, t.pacedAt = l.Pace, now
+		t.pace, t.paceAt = l.Pace, now
 	}
 	if l.Slots > 0 {
 		t.Slots = l.Slots
 	}
-	t.seen, t.seenAt = l.Running+l.Waiting, now
+	t.reportedLoad, t.loadAt = l.Running+l.Waiting, now
 }
 
-// succeeded takes in a run that ended well.
-func (t *target) succeeded(now time.Duration) {
+// recordSuccess takes in a run that ended well.
+func (t *targetState) recordSuccess(now time.Duration) {
 	t.answeredAt = now
-	t.inARow = 0
+	t.consecutiveFailures = 0
 	t.ejections = 0
-	t.failures *= (1 - failureGain) * fade(now-t.failedAt, failureHorizon)
-	t.failedAt = now
+	t.failureRate *= (1 - failureGain) * decay(now-t.failureRateAt, failureDecayTime)
+	t.failureRateAt = now
 }
 
-// failed takes in a run that ended badly, and ejects the target after several in a row when that is allowed.
-func (t *target) failed(now time.Duration, mayEject bool) {
-	t.failures = t.failures*fade(now-t.failedAt, failureHorizon)*(1-failureGain) + failureGain
-	t.failedAt = now
-	t.inARow++
-	if t.inARow < failuresToEject || !mayEject || now < t.ejectedUntil {
+// recordFailure takes in a run that ended badly, and ejects the target after several in a row when that is allowed.
+func (t *targetState) recordFailure(now time.Duration, mayEject bool) {
+	t.failureRate = t.failureRate*decay(now-t.failureRateAt, failureDecayTime)*(1-failureGain) + failureGain
+	t.failureRateAt = now
+	t.consecutiveFailures++
+	if t.consecutiveFailures < failuresToEject || !mayEject || now < t.ejectedUntil {
 		return
 	}
-	t.ejectedUntil = now + min(longestEjection, firstEjection<<min(t.ejections, 8))
+	t.ejectedUntil = now + min(maxEjection, minEjection<<min(t.ejections, 8))
 	t.ejections++
 }
 
-func (t *target) drop(h *hold) {
-	t.holds = slices.DeleteFunc(t.holds, func(other *hold) bool { return other == h })
+func (t *targetState) removeRun(h *run) {
+	t.runs = slices.DeleteFunc(t.runs, func(other *run) bool { return other == h })
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -13,12 +13,12 @@
 	"briarcroft/internal/platform"
 )
 
-// lapseGrace is how long after the store's return a target whose entry lapsed meanwhile stays in use:
+// returnGrace is how long after the store's return a target whose entry lapsed meanwhile stays in use:
 // a living one has registered again by then.
-const lapseGrace = 2 * time.Second
+const returnGrace = 2 * time.Second
 
-// tombstones bounds the deletions that are remembered so that an older write can't undo them.
-const tombstones = 4096
+// maxTombstones bounds the deletions that are remembered so that an older write can't undo them.
+const maxTombstones = 4096
 
 // Config sets up a Roster.
 type Config struct {
@@ -38,33 +38,33 @@
 	PeerAddresses map[string]string
 }
 
-// record is the newest knowledge of one key.
-type record struct {
+// entryState is the newest knowledge of one key.
+type entryState struct {
 	change platform.Change
 	item   DecodedEntry
-	// until is when a removed target goes out of use; zero means at once.
-	until time.Duration
+	// usableUntil is when a removed target goes out of use; zero means at once.
+	usableUntil time.Duration
 }
 
 // Roster is a replica of the store's entries. It is safe for concurrent use.
 type Roster struct {
 	config  Config
 	mu      sync.Mutex
-	records map[string]*record
+	entries map[string]*entryState
 	// revision is the store revision up to which the replica is whole.
 	revision int64
-	// returned is when the store came back after an outage.
-	returned   time.Duration
-	configured note.Configuration
-	// inForce is the change that brought the configuration in force; newer ones of its key may have been refused.
-	inForce      platform.Change
+	// storeReturnedAt is when the store came back after an outage.
+	storeReturnedAt time.Duration
+	configured      note.Configuration
+	// configuredBy is the change that brought the configuration in force; newer ones of its key may have been refused.
+	configuredBy platform.Change
 	view         atomic.Pointer[View]
 	deletedCount int
 }
 
 // New returns an empty roster.
 func New(c Config) *Roster {
-	r := &Roster{config: c, records: map[string]*record{}, returned: -lapseGrace}
+	r := &Roster{config: c, entries: map[string]*entryState{}, storeReturnedAt: -returnGrace}
 	r.view.Store(&View{})
 	return r
 }
@@ -84,10 +84,10 @@
 func (r *Roster) StoreReturned(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now-r.returned < lapseGrace {
+	if now-r.storeReturnedAt < returnGrace {
 		return false
 	}
-	r.returned = now
+	r.storeReturnedAt = now
 	return true
 }
 
@@ -97,24 +97,26 @@
 	r.mu.Lock()
 	var news []platform.Change
 	for _, c := range changes {
-		if r.take(now, c) {
+		if r.applyOne(now, c) {
 			news = append(news, c)
 		}
 	}
 	r.revision = max(r.revision, revision)
-	news = r.needed(news)
-	r.publish(len(news) > 0)
+	news = r.dropSuperseded(news)
+	r.unlockAndPublish(len(news) > 0)
 	return news
 }
 
-// needed leaves out the changes that later ones of their key replace. A configuration may change many times before a watch
+// dropSuperseded leaves out the changes that later ones of their key replace. A configuration may change many times before a watch
 // answers, and each of its values goes to every follower.
-func (r *Roster) needed(changes []platform.Change) []platform.Change {
+func (r *Roster) dropSuperseded(changes []platform.Change) []platform.Change {
 	last := map[string]int64{}
 	for _, c := range changes {
 		last[c.Key] = c.Revision
 	}
-	return slices.DeleteFunc(changes, func(c platform.Change) bool { return c.Revision != last[c.Key] && c.Revision != r.inForce.Revision })
+	return slices.DeleteFunc(changes, func(c platform.Change) bool {
+		return c.Revision != last[c.Key] && c.Revision != r.configuredBy.Revision
+	})
 }
 
 // ApplySnapshot takes in a snapshot: keys that it lacks were removed at some time before.
@@ -126,7 +128,7 @@
 		changes = append(changes, platform.Change{Entry: e})
 	}
 	r.mu.Lock()
-	for key, known := range r.records {
+	for key, known := range r.entries {
 		if !listed[key] && !known.change.Deleted && known.change.Revision <= revision {
 			changes = append(changes, platform.Change{Entry: platform.Entry{Key: key, Revision: revision}, Deleted: true})
 		}
@@ -135,9 +137,9 @@
 	return r.Apply(now, changes, revision)
 }
 
-// take stores one change and reports whether it is news.
-func (r *Roster) take(now time.Duration, c platform.Change) bool {
-	old := r.records[c.Key]
+// applyOne stores one change and reports whether it is news.
+func (r *Roster) applyOne(now time.Duration, c platform.Change) bool {
+	old := r.entries[c.Key]
 	if old != nil && old.change.Revision >= c.Revision {
 		return false
 	}
@@ -149,39 +151,39 @@
 		r.config.OnRejectedEntry(c.Key, err)
 	}
 	if configured, is := item.(ConfigurationEntry); is {
-		r.configure(c, configured.Configuration)
+		r.setConfiguration(c, configured.Configuration)
 	}
-	r.records[c.Key] = &record{change: c, item: item}
+	r.entries[c.Key] = &entryState{change: c, item: item}
 	return true
 }
 
-// configure puts a configuration in force unless it is older than the one that is.
-func (r *Roster) configure(change platform.Change, c note.Configuration) {
+// setConfiguration puts a configuration in force unless it is older than the one that is.
+func (r *Roster) setConfiguration(change platform.Change, c note.Configuration) {
 	if c.Number < r.configured.Number {
 		r.config.OnRejectedEntry(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configured.Number))
 		return
 	}
-	r.configured, r.inForce = c, change
+	r.configured, r.configuredBy = c, change
 }
 
 // remove marks a key as deleted; a target stays in use for a while when its entry may only have lapsed with the store.
-func (r *Roster) remove(now time.Duration, old *record, c platform.Change) bool {
-	next := &record{change: c}
-	if old != nil && !old.change.Deleted && now-r.returned < lapseGrace {
-		next.item, next.until = old.item, r.returned+lapseGrace
+func (r *Roster) remove(now time.Duration, old *entryState, c platform.Change) bool {
+	next := &entryState{change: c}
+	if old != nil && !old.change.Deleted && now-r.storeReturnedAt < returnGrace {
+		next.item, next.usableUntil = old.item, r.storeReturnedAt+returnGrace
 	}
-	r.records[c.Key] = next
+	r.entries[c.Key] = next
 	r.deletedCount++
-	if r.deletedCount > tombstones {
-		r.sweep()
+	if r.deletedCount > maxTombstones {
+		r.dropTombstones()
 	}
 	return old != nil
 }
 
-func (r *Roster) sweep() {
-	for key, known := range r.records {
+func (r *Roster) dropTombstones() {
+	for key, known := range r.entries {
 		if known.change.Deleted && known.item == nil {
-			delete(r.records, key)
+			delete(r.entries, key)
 		}
 	}
 	r.deletedCount = 0
@@ -191,28 +193,28 @@
 func (r *Roster) Tick(now time.Duration) {
 	r.mu.Lock()
 	changed := false
-	for _, known := range r.records {
-		if known.change.Deleted && known.item != nil && now >= known.until {
+	for _, known := range r.entries {
+		if known.change.Deleted && known.item != nil && now >= known.usableUntil {
 			known.item, changed = nil, true
 		}
 	}
-	r.publish(changed)
+	r.unlockAndPublish(changed)
 }
 
-// publish unlocks and, after a change, replaces the view and tells of it.
-func (r *Roster) publish(changed bool) {
+// unlockAndPublish unlocks and, after a change, replaces the view and tells of it.
+func (r *Roster) unlockAndPublish(changed bool) {
 	if !changed {
 		r.mu.Unlock()
 		return
 	}
-	r.view.Store(r.build())
+	r.view.Store(r.buildView())
 	r.mu.Unlock()
 	r.config.OnChange()
 }
 
-func (r *Roster) build() *View {
+func (r *Roster) buildView() *View {
 	v := &View{Configuration: r.configured, Targets: map[string][]Target{}, PeerAddresses: map[string]string{}}
-	for key, known := range r.records {
+	for key, known := range r.entries {
 		switch item := known.item.(type) {
 		case TargetEntry:
 			if _, named := r.configured.Service(item.Target.Service); named {
@@ -233,12 +235,12 @@
 func (r *Roster) AllChanges() ([]platform.Change, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]platform.Change, 0, len(r.records))
-	for _, known := range r.records {
+	list := make([]platform.Change, 0, len(r.entries))
+	for _, known := range r.entries {
 		list = append(list, known.change)
 	}
-	if known := r.records[r.inForce.Key]; known != nil && known.change.Revision != r.inForce.Revision {
-		list = append(list, r.inForce)
+	if known := r.entries[r.configuredBy.Key]; known != nil && known.change.Revision != r.configuredBy.Revision {
+		list = append(list, r.configuredBy)
 	}
 	slices.SortFunc(list, func(a, b platform.Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	return list, r.revision
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -37,69 +37,69 @@
 	return nil, nil
 }
 
-// book counts what a roster tells.
-type book struct {
+// testRoster counts what a roster tells.
+type testRoster struct {
 	*Roster
-	refused, changes int
+	rejected, changes int
 }
 
-func newBook() *book {
-	b := &book{}
-	b.Roster = New(Config{Decode: decode, OnRejectedEntry: func(string, error) { b.refused++ }, OnChange: func() { b.changes++ }})
+func newTestRoster() *testRoster {
+	b := &testRoster{}
+	b.Roster = New(Config{Decode: decode, OnRejectedEntry: func(string, error) { b.rejected++ }, OnChange: func() { b.changes++ }})
 	return b
 }
 
-func set(key, value string, revision int64) platform.Change {
+func put(key, value string, revision int64) platform.Change {
 	return platform.Change{Entry: platform.Entry{Key: key, Value: []byte(value), Revision: revision}}
 }
 
-func gone(key string, revision int64) platform.Change {
+func deletion(key string, revision int64) platform.Change {
 	return platform.Change{Entry: platform.Entry{Key: key, Revision: revision}, Deleted: true}
 }
 
-func (b *book) targets() int { return len(b.View().Targets["s"]) }
+func (b *testRoster) targets() int { return len(b.View().Targets["s"]) }
 
-// TestNeverBack applies changes late and twice, and a configuration with a lower number.
-func TestNeverBack(t *testing.T) {
+// TestIgnoresOlderChanges applies changes late and twice, and a configuration with a lower number.
+func TestIgnoresOlderChanges(t *testing.T) {
 	is := is.New(t)
-	b := newBook()
-	b.Apply(time.Minute, []platform.Change{set("config", "7", 5)}, 5)
-	is.Equal(len(b.Apply(time.Minute, []platform.Change{set("config", "6", 4), set("config", "7", 5)}, 5)), 0)
-	b.Apply(time.Minute, []platform.Change{set("config", "3", 9)}, 9)
+	b := newTestRoster()
+	b.Apply(time.Minute, []platform.Change{put("config", "7", 5)}, 5)
+	is.Equal(len(b.Apply(time.Minute, []platform.Change{put("config", "6", 4), put("config", "7", 5)}, 5)), 0)
+	b.Apply(time.Minute, []platform.Change{put("config", "3", 9)}, 9)
 	is.Equal(b.View().Configuration.Number, 7)
-	is.Equal(b.refused, 1)
-	b.Apply(time.Minute, []platform.Change{set("config", "odd", 10)}, 10)
+	is.Equal(b.rejected, 1)
+	b.Apply(time.Minute, []platform.Change{put("config", "odd", 10)}, 10)
 	is.Equal(b.View().Configuration.Number, 7)
-	is.Equal(b.refused, 2)
+	is.Equal(b.rejected, 2)
 }
 
-// TestNewsOfManyChanges applies a burst of configurations as one answer of the store: followers need the last value alone, or the
+// TestApplyDropsSupersededChanges applies a burst of configurations as one answer of the store: followers need the last value alone, or the
 // one in force beside it when the last can't be used.
-func TestNewsOfManyChanges(t *testing.T) {
+func TestApplyDropsSupersededChanges(t *testing.T) {
 	cases := []struct {
 		name string
 		last []platform.Change
 		news int
 	}{
 		{"all good", nil, 2},
-		{"the last is older", []platform.Change{set("config", "3", 40)}, 3},
-		{"the last is unreadable", []platform.Change{set("config", "odd", 40)}, 3},
+		{"the last is older", []platform.Change{put("config", "3", 40)}, 3},
+		{"the last is unreadable", []platform.Change{put("config", "odd", 40)}, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var burst []platform.Change
 			for i := range 30 {
-				burst = append(burst, set("config", strconv.Itoa(10+i), int64(2+i)))
+				burst = append(burst, put("config", strconv.Itoa(10+i), int64(2+i)))
 			}
-			burst = append(burst, set("t/a", "x", 35))
-			b, follower, late := newBook(), newBook(), newBook()
+			burst = append(burst, put("t/a", "x", 35))
+			b, follower, late := newTestRoster(), newTestRoster(), newTestRoster()
 			news := b.Apply(0, append(burst, c.last...), 50)
 			is.Equal(len(news), c.news)
 			follower.Apply(0, news, 50)
 			everything, revision := b.AllChanges()
 			late.Apply(0, everything, revision)
-			for _, x := range []*book{b, follower, late} {
+			for _, x := range []*testRoster{b, follower, late} {
 				is.Equal(x.View().Configuration.Number, 39)
 				is.Equal(x.targets(), 1)
 			}
@@ -110,33 +110,33 @@
 // TestRemovedTargets removes targets in calm, in a snapshot, and after an outage of the store.
 func TestRemovedTargets(t *testing.T) {
 	is := is.New(t)
-	b := newBook()
+	b := newTestRoster()
 	now := time.Minute
-	b.Apply(now, []platform.Change{set("config", "1", 1), set("t/a", "x", 2), set("t/b", "y", 3), set("t/c", "z", 4)}, 4)
+	b.Apply(now, []platform.Change{put("config", "1", 1), put("t/a", "x", 2), put("t/b", "y", 3), put("t/c", "z", 4)}, 4)
 	is.Equal(b.targets(), 3)
-	b.Apply(now, []platform.Change{gone("t/a", 5)}, 5)
+	b.Apply(now, []platform.Change{deletion("t/a", 5)}, 5)
 	is.Equal(b.targets(), 2)
 	b.ApplySnapshot(now, []platform.Entry{{Key: "config", Value: []byte("1"), Revision: 1}, {Key: "t/b", Value: []byte("y"), Revision: 3}}, 9)
 	is.Equal(b.targets(), 1)
 	is.True(b.StoreReturned(now))
 	is.True(!b.StoreReturned(now + time.Second)) // the same return, noticed by another host
-	b.Apply(now+time.Second, []platform.Change{gone("t/b", 11)}, 11)
+	b.Apply(now+time.Second, []platform.Change{deletion("t/b", 11)}, 11)
 	b.Tick(now + time.Second)
 	is.Equal(b.targets(), 1)
-	b.Tick(now + lapseGrace)
+	b.Tick(now + returnGrace)
 	is.Equal(b.targets(), 0)
-	b.Apply(now+3*time.Second, []platform.Change{set("t/b", "y", 12)}, 12)
+	b.Apply(now+3*time.Second, []platform.Change{put("t/b", "y", 12)}, 12)
 	is.Equal(b.targets(), 1)
 }
 
-// TestUnreadable writes an entry that can't be used in place of a good one.
-func TestUnreadable(t *testing.T) {
+// TestUndecodableEntry writes an entry that can't be used in place of a good one.
+func TestUndecodableEntry(t *testing.T) {
 	is := is.New(t)
-	b := newBook()
-	b.Apply(0, []platform.Change{set("config", "1", 1), set("t/a", "x", 2), set("t/b", "y", 3)}, 3)
-	b.Apply(0, []platform.Change{set("t/a", "", 4)}, 4)
+	b := newTestRoster()
+	b.Apply(0, []platform.Change{put("config", "1", 1), put("t/a", "x", 2), put("t/b", "y", 3)}, 3)
+	b.Apply(0, []platform.Change{put("t/a", "", 4)}, 4)
 	is.Equal(b.targets(), 1)
-	is.Equal(b.refused, 1)
+	is.Equal(b.rejected, 1)
 }
 
 // TestAnyOrder applies the same changes in any order, some of them twice: the view is the same.
@@ -147,15 +147,15 @@
 		for i := range rapid.IntRange(1, 30).Draw(t, "changes") {
 			key := rapid.SampledFrom([]string{"t/a", "t/b", "t/c"}).Draw(t, "key")
 			if rapid.Bool().Draw(t, "delete") {
-				all = append(all, gone(key, int64(i+2)))
+				all = append(all, deletion(key, int64(i+2)))
 				delete(last, key)
 				continue
 			}
-			all = append(all, set(key, strconv.Itoa(i), int64(i+2)))
+			all = append(all, put(key, strconv.Itoa(i), int64(i+2)))
 			last[key] = strconv.Itoa(i)
 		}
-		b := newBook()
-		b.Apply(time.Minute, []platform.Change{set("config", "1", 1)}, 1)
+		b := newTestRoster()
+		b.Apply(time.Minute, []platform.Change{put("config", "1", 1)}, 1)
 		for _, i := range rapid.Permutation(append(indexes(len(all)), indexes(len(all))...)).Draw(t, "order") {
 			b.Apply(time.Minute, []platform.Change{all[i]}, all[i].Revision)
 		}
