--- a/internal/placement/end.go
+++ b/internal/placement/end.go
@@ -94,7 +94,7 @@
 func (h *Home) recordLoad(now time.Duration, t *targetState, l LoadReport) {
 	t.recordLoad(now, l)
 	if l.Pace > 0 {
-		h.usualPace += (min(maxFactor, max(minFactor, l.Pace)) - h.usualPace) * paceGain
+		h.averagePace += (min(maxFactor, max(minFactor, l.Pace)) - h.averagePace) * paceGain
 	}
 }
 
--- a/internal/placement/hedge.go
+++ b/internal/placement/hedge.go
@@ -45,7 +45,7 @@
 	end := now + time.Duration(hedgeMargin*float64(c.expected))
 	inTime := end <= r.Goal
 	lastChance := inTime && end+tickInterval > r.Goal
-	if !lastChance && (ageRatio < hedgeAgeRatio || !inTime && h.late(now, r) == 0) {
+	if !lastChance && (ageRatio < hedgeAgeRatio || !inTime && h.lateRank(now, r) == 0) {
 		return
 	}
 	if !h.config.Budget.Spend(now, hedgeReserve) {
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -8,67 +8,72 @@
 	"time"
 )
 
-// Weights of what is learned of a service.
+// Parameters of the statistics of a service. A gain is the weight of one new value in an exponential moving average.
 const (
-	// initialGoalShare is the part of its goal that a class's work is taken to need before any was seen.
+	// initialGoalShare is the service time assumed for a class that has not run yet, as a share of its latency goal.
 	initialGoalShare = 0.4
-	// serviceTimeGain is the weight of one run in the class's base time, and paceGain that of one report in the usual pace.
+	// serviceTimeGain applies to the service time of a class for each run, paceGain to the average pace for each load report.
 	serviceTimeGain = 0.05
 	paceGain        = 0.01
-	// nearlyFullGain is the weight of one crowded run in what is learned of crowding.
+	// nearlyFullGain applies to the slowdown of nearly full targets for each run that took one of the last slots.
 	nearlyFullGain = 0.05
-	// initialNearlyFullSlowdown and firstPace hold until something was learned.
+	// initialNearlyFullSlowdown and initialPace are the values before the first run and the first load report.
 	initialNearlyFullSlowdown = 1.3
 	initialPace               = 1.5
-	// minFactor and mostFactor bound learned factors against odd reports.
+	// minFactor and maxFactor clamp measured factors, so that a wrong load report or an outlier does little harm.
 	minFactor = 1.0
 	maxFactor = 4.0
-	// goalMargin is the part of the time to the goal that a run may be expected to take.
+	// goalMargin is the safety factor on the expected duration of a run when it is compared with the goal.
 	goalMargin = 1.15
-	// lateFreeShare is the share of slots that late requests leave free for those that can still meet their goal.
+	// lateFreeShare is the share of slots that must be free for a late request to be placed. The rest of the slots is kept
+	// for requests that can still meet their goal.
 	lateFreeShare = 0.7
 )
 
-// Config sets up a Home.
+// Config configures a Home.
 type Config struct {
 	Random *rand.Rand
 	Budget RetryBudget
-	// OnVerdict gets each verdict; it must not call the home.
+	// OnVerdict is called with each verdict. It must not call the home.
 	OnVerdict func(*Request, Verdict)
-	// OnEjection is told when failures have taken a target out, and when it is back; it must not call the home.
+	// OnEjection is called when a target is ejected and when its ejection ends. It must not call the home. It may be nil.
 	OnEjection func(Ejection)
 }
 
-// Ejection is a change of whether failures in a row keep a target out.
+// Ejection reports that a target was ejected after consecutive failures or, if Ejected is false, that its ejection ended.
 type Ejection struct {
-	Target   string
-	Ejected  bool
+	Target  string
+	Ejected bool
+	// Failures is the number of consecutive failures.
 	Failures int
 }
 
-// Home decides for one service. It is not safe for concurrent use.
+// Home places the requests of one service: it holds the queue and the state of the service's targets, and decides where
+// and when each request runs. One entry host is the primary home of a service and decides for all entry hosts; the others
+// are fallback homes, which decide while the primary cannot be reached. A Home is not safe for concurrent use.
 type Home struct {
 	config  Config
 	targets []*targetState
 	byName  map[string]*targetState
-	// requests are all that wait or hold a place.
+	// requests holds all requests that are queued or have a run.
 	requests map[RequestID]*Request
 	queue    []*Request
-	// serviceTimes holds the moving base time of each class, in seconds.
+	// serviceTimes holds, by class, the moving average of the time that a run takes at a pace of 1, in seconds.
 	serviceTimes map[string]float64
-	// responseBytes holds the moving size of each class's answers.
+	// responseBytes holds, by class, the moving average of the response size.
 	responseBytes map[string]float64
-	// usualPace is the usual pace of all targets; crowding is how much one more run slows a nearly full one.
-	usualPace          float64
+	// averagePace is the moving average of the paces that targets report. nearlyFullSlowdown is the factor by which a run
+	// takes longer on a nearly full target.
+	averagePace        float64
 	nearlyFullSlowdown float64
-	// lastRequestAt is when a request last asked.
+	// lastRequestAt is when a request was last submitted.
 	lastRequestAt time.Duration
 	lateWait      lateWaitEstimator
-	// primary is set for the one home that all hosts ask first; probeCredit is how many probes another one may send now.
+	// primary is set on the primary home. A fallback home may send probes only while it has probeCredit, one for each.
 	primary     bool
 	probeCredit float64
 	crashes     crashTracker
-	// refusals counts refusals, to spread the callers' return.
+	// refusals counts refusals, to vary the jitter of the retry delays.
 	refusals uint64
 }
 
@@ -76,36 +81,36 @@
 func New(c Config) *Home {
 	return &Home{
 		config: c, byName: map[string]*targetState{}, requests: map[RequestID]*Request{}, serviceTimes: map[string]float64{}, responseBytes: map[string]float64{},
-		usualPace: initialPace, nearlyFullSlowdown: initialNearlyFullSlowdown, lastRequestAt: -time.Hour, crashes: crashTracker{},
+		averagePace: initialPace, nearlyFullSlowdown: initialNearlyFullSlowdown, lastRequestAt: -time.Hour, crashes: crashTracker{},
 	}
 }
 
-// SetRetrySlack changes how many repeats are allowed beyond the budget's ratio.
+// SetRetrySlack sets the number of extra attempts per window that are allowed beyond the retry budget's ratio.
 func (h *Home) SetRetrySlack(slack float64) { h.config.Budget.Slack = slack }
 
-// SetTargets replaces the targets; known ones keep what was learned of them.
+// SetTargets replaces the list of targets. A target with the same name, incarnation and address keeps its state.
 func (h *Home) SetTargets(now time.Duration, list []Target) {
 	next := make([]*targetState, 0, len(list))
-	names := make(map[string]*targetState, len(list))
-	for _, spec := range list {
-		t := h.byName[spec.Name]
-		if t == nil || t.Incarnation != spec.Incarnation || t.Address != spec.Address {
-			t = &targetState{Target: spec, warmUpUntil: now + spec.WarmUpLeft, paceAt: -time.Hour, loadAt: -time.Hour, failureRateAt: -time.Hour, probe: probeState{sentAt: -time.Hour}}
+	byName := make(map[string]*targetState, len(list))
+	for _, registered := range list {
+		t := h.byName[registered.Name]
+		if t == nil || t.Incarnation != registered.Incarnation || t.Address != registered.Address {
+			t = &targetState{Target: registered, warmUpUntil: now + registered.WarmUpLeft, paceAt: -time.Hour, loadAt: -time.Hour, failureRateAt: -time.Hour, probe: probeState{sentAt: -time.Hour}}
 		}
-		if spec.WarmUpLeft != t.WarmUpLeft {
-			// The entry has been written anew; its time counts from now.
-			t.warmUpUntil = now + spec.WarmUpLeft
+		if registered.WarmUpLeft != t.WarmUpLeft {
+			// The target has written its store entry again, so that the warm-up time counts from now.
+			t.warmUpUntil = now + registered.WarmUpLeft
 		}
-		t.Target = spec
+		t.Target = registered
 		next = append(next, t)
-		names[spec.Name] = t
+		byName[registered.Name] = t
 	}
 	h.probeCredit += float64(max(0, len(next)-len(h.targets)))
-	h.targets, h.byName = next, names
+	h.targets, h.byName = next, byName
 	h.Dispatch(now)
 }
 
-// Submit offers a request; verdicts follow through Notify, the first one before Ask returns.
+// Submit places, queues or refuses a request. Verdicts are passed to OnVerdict, the first one before Submit returns.
 func (h *Home) Submit(now time.Duration, r *Request) {
 	h.resumeProbing(now)
 	h.lastRequestAt = now
@@ -121,12 +126,12 @@
 		h.refuse(now, r, ReasonRetryBudgetSpent)
 		return
 	}
-	if known := h.requests[r.ID]; known != nil {
-		// A request that asks again goes on holding what still runs for it.
-		r.runs = known.runs
+	if previous := h.requests[r.ID]; previous != nil {
+		// A request that is submitted again keeps the slots of runs that have not ended.
+		r.runs = previous.runs
 	}
 	h.requests[r.ID] = r
-	if reason, hopeless := h.cannotServe(now, r); hopeless {
+	if reason, refused := h.cannotServe(now, r); refused {
 		h.refuse(now, r, reason)
 		return
 	}
@@ -138,7 +143,7 @@
 	}
 }
 
-// cannotServe reports whether a new request can't be served before its deadline.
+// cannotServe reports whether a new request cannot be served before its deadline, and the reason.
 func (h *Home) cannotServe(now time.Duration, r *Request) (Reason, bool) {
 	slots := h.availableSlots(now)
 	if slots == 0 {
@@ -150,7 +155,7 @@
 	return "", false
 }
 
-// availableSlots returns how many slots the targets that may get requests have.
+// availableSlots returns the number of slots, free or not, of all available targets.
 func (h *Home) availableSlots(now time.Duration) int {
 	sum := 0
 	for _, t := range h.targets {
@@ -161,7 +166,7 @@
 	return sum
 }
 
-// queueWait returns how long a request will wait behind those that go before it.
+// queueWait estimates how long a new request will wait behind the queued requests that are placed before it.
 func (h *Home) queueWait(r *Request) time.Duration {
 	ahead := 0
 	for _, other := range h.queue {
@@ -178,13 +183,14 @@
 	if slots == 0 || ahead == 0 {
 		return 0
 	}
-	return time.Duration(float64(ahead) / float64(slots) * h.usualPace * float64(h.serviceTime(r)))
+	return time.Duration(float64(ahead) / float64(slots) * h.averagePace * float64(h.serviceTime(r)))
 }
 
-// queuedBefore reports whether a waiting request goes before a new one at the latest once that has missed its goal.
-func queuedBefore(waiting, r *Request) bool { return waiting.Priority <= r.Priority }
+// queuedBefore reports whether a queued request is placed before a new one in the worst case, which is that the new one
+// becomes late.
+func queuedBefore(other, r *Request) bool { return other.Priority <= r.Priority }
 
-// serviceTime returns the time that a request's work takes at the usual pace.
+// serviceTime returns the expected duration of a run of the request at a pace of 1.
 func (h *Home) serviceTime(r *Request) time.Duration {
 	if b := h.serviceTimes[r.Class]; b > 0 {
 		return time.Duration(b * float64(time.Second))
@@ -192,13 +198,13 @@
 	return time.Duration(initialGoalShare * float64(max(0, r.Goal-r.submittedAt)))
 }
 
-// Dispatch binds waiting requests to targets and refuses those that have become hopeless.
+// Dispatch places queued requests for which a target is free, and refuses those that can no longer meet their deadline.
 func (h *Home) Dispatch(now time.Duration) {
 	if len(h.queue) == 0 {
 		return
 	}
 	slices.SortStableFunc(h.queue, func(a, b *Request) int { return h.compareQueued(now, a, b) })
-	waiting := h.queue[:0]
+	remaining := h.queue[:0]
 	ahead, lateAhead := 0, 0
 	for _, r := range h.queue {
 		if h.placeOrRefuse(now, r, ahead, lateAhead) {
@@ -206,40 +212,42 @@
 			continue
 		}
 		ahead++
-		lateAhead += h.late(now, r)
-		waiting = append(waiting, r)
+		lateAhead += h.lateRank(now, r)
+		remaining = append(remaining, r)
 	}
 	h.lateWait.setQueued(now, lateAhead)
-	clear(h.queue[len(waiting):])
-	h.queue = waiting
+	clear(h.queue[len(remaining):])
+	h.queue = remaining
 }
 
-// compareQueued goes by rank, and puts requests that can still meet their goal before the others. Among those the one with the
-// most time left goes first: under overload, serving each at the last moment would make all of them late.
+// compareQueued orders the queue by priority, and then puts requests that can still meet their goal before late ones.
+// Within each group the latest goal comes first: under overload, the earliest goal first would serve every request at the
+// last moment and make all of them late.
 func (h *Home) compareQueued(now time.Duration, a, b *Request) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
-		cmp.Compare(h.late(now, a), h.late(now, b)),
+		cmp.Compare(h.lateRank(now, a), h.lateRank(now, b)),
 		cmp.Compare(b.Goal, a.Goal),
 	)
 }
 
-// late is 1 for a request that can't meet its goal any more, even at the fastest target.
-func (h *Home) late(now time.Duration, r *Request) int {
+// lateRank returns 1 for a late request, which cannot meet its goal even on the fastest target, and 0 for any other.
+func (h *Home) lateRank(now time.Duration, r *Request) int {
 	if now+time.Duration(goalMargin*float64(h.serviceTime(r))) > r.Goal {
 		return 1
 	}
 	return 0
 }
 
-// placeOrRefuse places or refuses a waiting request and reports whether it did. Of those ahead of it, lateAhead are late.
+// placeOrRefuse places or refuses a queued request if it can, and reports whether the request has left the queue.
+// Of the queued requests ahead of it, lateAhead are late.
 func (h *Home) placeOrRefuse(now time.Duration, r *Request, ahead, lateAhead int) bool {
 	t, c := h.pickTarget(now, r, r.Tried)
 	if t != nil && h.shouldPlaceNow(now, r, c.expected) {
 		if h.shouldAwaitProbe(now, r, t) {
 			return false
 		}
-		if h.late(now, r) == 1 {
+		if h.lateRank(now, r) == 1 {
 			h.lateWait.recordPlaced(now)
 		}
 		h.startRun(now, r, t, c)
@@ -251,28 +259,30 @@
 	case slots == 0:
 		h.refuse(now, r, ReasonNoTargets)
 		return true
-	case now+time.Duration(float64(ahead)/float64(slots)*h.usualPace*float64(h.serviceTime(r)))+h.serviceTime(r) > r.Deadline,
-		h.late(now, r) == 1 && now+h.lateWait.estimate(now, lateAhead)+h.serviceTime(r) > r.Deadline:
+	case now+time.Duration(float64(ahead)/float64(slots)*h.averagePace*float64(h.serviceTime(r)))+h.serviceTime(r) > r.Deadline,
+		h.lateRank(now, r) == 1 && now+h.lateWait.estimate(now, lateAhead)+h.serviceTime(r) > r.Deadline:
 		h.refuse(now, r, ReasonDeadlineCannotBeMet)
 		return true
 	}
 	return false
 }
 
-// newPlaced is the verdict on a request that goes to a target, with what it was based on.
+// newPlaced returns the verdict that assigns a request to a target, and the data on which the decision was based.
 func newPlaced(now time.Duration, t *targetState, c runEstimate) Placed {
 	return Placed{Target: t.Name, Address: t.Address, Expected: c.expected, KnowledgeAge: now - t.paceAt}
 }
 
-// runEstimate is what a run that starts now at a target should take.
+// runEstimate is the expected duration of a run that starts on a target now.
 type runEstimate struct {
 	expected time.Duration
-	// slowdown is the factor over the base time; crowded is set when the run takes one of the last slots.
+	// slowdown is the expected duration relative to the service time. nearlyFull is set if the run would take one of the
+	// target's last slots.
 	slowdown   float64
 	nearlyFull bool
 }
 
-// pickTarget returns the target where a request should end soonest, among those with a free slot that are not skipped.
+// pickTarget returns the target with the lowest expected duration, adjusted for load and for traffic between failure
+// domains. It considers available targets with a free slot that are not in skip, and returns nil if there is none.
 func (h *Home) pickTarget(now time.Duration, r *Request, skip []string) (*targetState, runEstimate) {
 	var best *targetState
 	var chosen runEstimate
@@ -281,35 +291,35 @@
 	if len(h.targets) > 0 {
 		start = h.config.Random.IntN(len(h.targets))
 	}
-	base := float64(h.serviceTime(r))
+	serviceTime := float64(h.serviceTime(r))
 	for i := range h.targets {
 		t := h.targets[(start+i)%len(h.targets)]
 		if !t.available(now) || t.load(now) >= t.Slots || slices.Contains(skip, t.Name) {
 			continue
 		}
-		f, crowded := t.slowdown(now, h.usualPace, h.nearlyFullSlowdown)
-		s := f * h.crossDomainFactor(t, r) * (1 + loadPenalty*float64(t.load(now))/float64(t.Slots))
-		if s < score {
-			best, chosen, score = t, runEstimate{time.Duration(base * f), f, crowded}, s
+		factor, nearlyFull := t.slowdown(now, h.averagePace, h.nearlyFullSlowdown)
+		candidate := factor * h.crossDomainFactor(t, r) * (1 + loadPenalty*float64(t.load(now))/float64(t.Slots))
+		if candidate < score {
+			best, chosen, score = t, runEstimate{time.Duration(serviceTime * factor), factor, nearlyFull}, candidate
 		}
 	}
 	return best, chosen
 }
 
-// Penalties that decide between targets that are about as fast.
+// Penalties that decide between targets of similar expected duration.
 const (
-	// loadPenalty spreads requests over targets.
+	// loadPenalty is the penalty of a full target. It spreads requests over the targets.
 	loadPenalty = 0.1
-	// crossDomainBytes is the size of an answer that is worth twice the time when it comes from the own failure domain:
-	// traffic between failure domains is paid by the byte.
+	// crossDomainBytes is the response size for which a target in another failure domain counts as twice as slow, before
+	// the limit of maxCrossDomainPenalty. Traffic between failure domains is billed by the byte.
 	crossDomainBytes = 256 << 10
-	// maxCrossDomainPenalty bounds the penalty, so that the largest answers still go to a target that is much faster.
+	// maxCrossDomainPenalty limits the penalty, so that requests with large responses still go to much faster targets.
 	maxCrossDomainPenalty = 0.5
-	// responseBytesGain is the weight of one answer in the moving size of a class's answers.
+	// responseBytesGain is the weight of one response in the moving average of the response size of a class.
 	responseBytesGain = 0.05
 )
 
-// crossDomainFactor is the cost of sending the answer between failure domains.
+// crossDomainFactor returns the factor by which the traffic between failure domains makes a target less attractive.
 func (h *Home) crossDomainFactor(t *targetState, r *Request) float64 {
 	if t.Domain == r.Domain {
 		return 1
@@ -317,40 +327,41 @@
 	return 1 + min(maxCrossDomainPenalty, h.responseBytes[r.Class]/crossDomainBytes)
 }
 
-// shouldPlaceNow reports whether to take the best place now rather than wait for a better one.
+// shouldPlaceNow reports whether to place a request on the best free target now, rather than keep it queued for a faster
+// target or for requests that are not late.
 func (h *Home) shouldPlaceNow(now time.Duration, r *Request, expected time.Duration) bool {
 	if now+time.Duration(float64(expected)*goalMargin) <= r.Goal {
 		return true
 	}
-	if h.late(now, r) == 0 {
-		// A faster target may come free in time.
+	if h.lateRank(now, r) == 0 {
+		// A faster target may get a free slot in time to meet the goal.
 		return false
 	}
 	return now+expected < r.Deadline && h.freeSlotShare(now) > lateFreeShare
 }
 
-// freeSlotShare returns the share of all slots that are free.
+// freeSlotShare returns the share of the slots of available targets that are free.
 func (h *Home) freeSlotShare(now time.Duration) float64 {
-	slots, held := 0, 0
+	slots, used := 0, 0
 	for _, t := range h.targets {
 		if t.available(now) {
 			slots += t.Slots
-			held += min(t.Slots, t.load(now))
+			used += min(t.Slots, t.load(now))
 		}
 	}
 	if slots == 0 {
 		return 0
 	}
-	return 1 - float64(held)/float64(slots)
+	return 1 - float64(used)/float64(slots)
 }
 
 func (h *Home) startRun(now time.Duration, r *Request, t *targetState, c runEstimate) {
-	held := &run{request: r, target: t, startedAt: now, expected: c.expected, slowdown: c.slowdown, nearlyFull: c.nearlyFull}
-	t.runs = append(t.runs, held)
-	r.runs = append(r.runs, held)
+	started := &run{request: r, target: t, startedAt: now, expected: c.expected, slowdown: c.slowdown, nearlyFull: c.nearlyFull}
+	t.runs = append(t.runs, started)
+	r.runs = append(r.runs, started)
 }
 
-// refuse ends a request that gets no place.
+// refuse refuses a request and tells the caller when to retry.
 func (h *Home) refuse(now time.Duration, r *Request, reason Reason) {
 	r.queued = false
 	if len(r.runs) == 0 {
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Times and counts of probing.
+// Intervals and limits of health probes.
 const (
-	// probeInterval is how often each target is asked while its service is busy, so that one that went silent is noticed.
+	// probeInterval is the probe interval of a target while its service is busy, so that one that hangs is noticed.
 	probeInterval = 250 * time.Millisecond
-	// queuedProbeInterval is how often targets with free slots are asked while requests wait.
+	// queuedProbeInterval is the probe interval of targets with free slots while requests are queued.
 	queuedProbeInterval = 25 * time.Millisecond
-	// busyPeriod is how long after a request a service counts as busy. An idle one isn't probed: many hosts may once have
-	// decided alone, and each would go on for ever.
+	// busyPeriod is how long after its last request a service counts as busy. An idle service is not probed, because any
+	// number of hosts may have become fallback homes at some time, and each of them would probe forever.
 	busyPeriod = 2 * time.Second
-	// probeTimeout is how long a probe may take before its target counts as down.
+	// probeTimeout is the time without a response after which the target of a probe counts as down.
 	probeTimeout = 150 * time.Millisecond
-	// downProbeInterval is how often a target that is down is asked.
+	// downProbeInterval is the probe interval of a target that is down.
 	downProbeInterval = 100 * time.Millisecond
-	// maxPaceAge is how old knowledge of a target's pace may be for a placement without asking: a fraction of the few
-	// hundred milliseconds in which neighbours' load shifts.
+	// maxPaceAge is the age up to which a reported pace is used for a placement without a new probe. It is a fraction of
+	// the few hundred milliseconds in which the load of neighbouring workloads changes.
 	maxPaceAge = 25 * time.Millisecond
-	// maxProbeWait is how long a request waits for probes: a round trip and the time of two wake-ups.
+	// maxProbeWait is how long a request waits for probe results: one round trip and two scheduling delays.
 	maxProbeWait = 8 * time.Millisecond
-	// probeRate is the most probes that one target gets a second in the long run, and probeBurst how many it may get at once.
+	// probeRate is the maximum long-term rate of probes to one target, per second, and probeBurst the maximum burst.
 	probeRate  = 18.0
 	probeBurst = 10.0
-	// fallbackProbesPerRequest is how many probes a stand-in may send for each request that it decides on, so that all stand-ins
-	// together stay within the probes of one home.
+	// fallbackProbesPerRequest is the number of probes that a fallback home may send for each submitted request, so that
+	// all fallback homes together send no more probes than one primary home.
 	fallbackProbesPerRequest = 4.0
-	// targetsProbedAtOnce is how many targets are probed for a request that finds nothing fresh.
+	// targetsProbedAtOnce is the number of targets that are probed for a request if the reported paces are too old.
 	targetsProbedAtOnce = 3
 )
 
 // probeState is the state of the health probes of one target.
 type probeState struct {
-	// sentAt is when the last probe was sent; pending is set while it has no answer.
+	// sentAt is when the last probe was sent. pending is set until its result is recorded.
 	sentAt  time.Duration
 	pending bool
-	// wanted is set when a request waits for fresh knowledge of the target.
+	// wanted is set when a queued request waits for a probe of the target.
 	wanted bool
-	// credit is how many probes the target may get now, as of creditAt.
+	// credit is the number of probes that the rate limit allowed at creditAt.
 	credit   float64
 	creditAt time.Duration
-	// down is set while probes get no answer or the target says it is ill.
+	// down is set after a probe without a response, an unhealthy result or a failed connection, until a probe succeeds.
 	down bool
 }
 
-// spend spends the credit for one probe and reports whether there was any.
+// spend takes one probe from the rate limit and reports whether it was allowed.
 func (p *probeState) spend(now time.Duration) bool {
 	p.credit = min(probeBurst, p.credit+probeRate*(now-p.creditAt).Seconds())
 	p.creditAt = now
@@ -58,22 +58,22 @@
 	return true
 }
 
-// ProbeResult is what a probe found.
+// ProbeResult is the result of a health probe.
 type ProbeResult int
 
 // The results of a probe.
 const (
-	// ProbeHealthy means that the target answered and calls itself healthy.
+	// ProbeHealthy means that the target responded and reported itself healthy.
 	ProbeHealthy ProbeResult = iota
-	// ProbeUnhealthy means that the target answered and calls itself ill.
+	// ProbeUnhealthy means that the target responded and reported itself unhealthy.
 	ProbeUnhealthy
-	// ProbeNoResponse means that the target gave no answer.
+	// ProbeNoResponse means that the target did not respond.
 	ProbeNoResponse
-	// ProbeOtherServer means that another server answered at the target's address.
+	// ProbeOtherServer means that another server responded at the target's address.
 	ProbeOtherServer
 )
 
-// DueProbes returns the targets to probe now; each must be followed by Probed.
+// DueProbes returns the targets to probe now. For each of them the caller must call RecordProbe with the result.
 func (h *Home) DueProbes(now time.Duration) []Placed {
 	var due []Placed
 	for _, t := range h.targets {
@@ -92,16 +92,17 @@
 	return due
 }
 
-// SetPrimary says whether this is the one home that all hosts ask first. Any other is a stand-in, of which many may be at
-// work when hosts lose touch with the home: it begins with one probe of each target and earns more by requests.
+// SetPrimary sets whether this is the primary home of the service, which all hosts try first. Otherwise it is a fallback
+// home. Many of these may be active while hosts cannot reach the primary, so that each starts with a credit of one probe
+// for each target and gets more only with requests.
 func (h *Home) SetPrimary(primary bool) { h.primary = primary }
 
-// addProbeCredit gives a stand-in the probes for one more request.
+// addProbeCredit adds the probe credit of a fallback home for one submitted request.
 func (h *Home) addProbeCredit() {
 	h.probeCredit = min(h.probeCredit+fallbackProbesPerRequest, 2*float64(len(h.targets)))
 }
 
-// probeDue reports whether it is time to look at a target again.
+// probeDue reports whether the probe interval of a target has passed.
 func (h *Home) probeDue(now time.Duration, t *targetState) bool {
 	switch {
 	case !h.busy(now):
@@ -109,16 +110,16 @@
 	case t.probe.down:
 		return now-t.probe.sentAt >= downProbeInterval
 	case len(h.queue) > 0 && t.available(now) && t.load(now) < t.Slots:
-		// Requests wait although the target has room: it was slow when last seen.
+		// Requests are queued although the target has free slots: it was too slow at its last load report.
 		return now-max(t.probe.sentAt, t.paceAt) >= queuedProbeInterval
 	}
 	return now-max(t.probe.sentAt, t.paceAt) >= probeInterval
 }
 
-// busy reports whether the service had requests lately.
+// busy reports whether the service has had a request within busyPeriod.
 func (h *Home) busy(now time.Duration) bool { return now-h.lastRequestAt <= busyPeriod }
 
-// resumeProbing begins to look at the targets of a service that was idle: what was known of them then is no reason to leave any out.
+// resumeProbing marks all targets of a service that was idle as up, because their last probe results are outdated.
 func (h *Home) resumeProbing(now time.Duration) {
 	if h.busy(now) {
 		return
@@ -128,8 +129,8 @@
 	}
 }
 
-// shouldAwaitProbe reports whether a request should wait for a probe of the target that looks best, because what is known
-// of it is old. It asks for probes of the few best targets.
+// shouldAwaitProbe reports whether a request should stay queued until a probe of its best target returns, because the
+// reported pace of that target is too old. If so, it requests probes of the few best targets.
 func (h *Home) shouldAwaitProbe(now time.Duration, r *Request, best *targetState) bool {
 	if now-r.submittedAt >= maxProbeWait || now-best.paceAt < maxPaceAge || best.probe.sentAt >= r.submittedAt && !best.probe.pending {
 		return false
@@ -146,14 +147,15 @@
 	return true
 }
 
-// RecordProbe takes in the result of a probe that Probes asked for.
-func (h *Home) RecordProbe(now time.Duration, name string, health ProbeResult, load *LoadReport) {
+// RecordProbe records the result of a probe that DueProbes returned, with the load report of the response if there was
+// one, and dispatches queued requests.
+func (h *Home) RecordProbe(now time.Duration, name string, result ProbeResult, load *LoadReport) {
 	t := h.byName[name]
 	if t == nil {
 		return
 	}
 	t.probe.pending = false
-	switch health {
+	switch result {
 	case ProbeHealthy:
 		t.probe.down = false
 		t.otherServer = false
@@ -162,13 +164,13 @@
 	case ProbeOtherServer:
 		t.otherServer = true
 	}
-	if load != nil && health != ProbeOtherServer {
+	if load != nil && result != ProbeOtherServer {
 		h.recordLoad(now, t, *load)
 	}
 	h.Dispatch(now)
 }
 
-// checkProbeTimeouts marks targets whose probes have been without an answer for too long.
+// checkProbeTimeouts marks targets as down whose probe has had no response for probeTimeout.
 func (h *Home) checkProbeTimeouts(now time.Duration) {
 	for _, t := range h.targets {
 		if t.probe.pending && now-t.probe.sentAt > probeTimeout {
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -1,6 +1,13 @@
-// Package placement decides for one service which target runs which request, which requests wait and which are refused.
-// One entry host, the service's home, decides for all hosts. The package knows no sockets and no wall clock:
-// callers pass the time in, and verdicts come back through a function of the caller's.
+// Package placement implements the load-balancing decisions for one service: which target (backend server) runs which
+// request, which requests are queued, hedged or refused, and when targets are probed and ejected.
+//
+// The decisions for a service are made in one place, its home, for the requests of all entry hosts. A request has a
+// latency goal, after which its response is worth less, and a deadline, after which it is worth nothing. Each attempt of
+// a request on a target is a run and occupies one of the target's slots. Targets report their load and their pace, that
+// is, how long requests take there at present relative to normal: a pace of 2 is twice as slow.
+//
+// The package does no I/O and reads no clock. Callers pass the time as a monotonic offset, and receive decisions, called
+// verdicts, through a callback.
 package placement
 
 import (
@@ -8,28 +15,28 @@
 	"time"
 )
 
-// RequestID names a request among all that a home knows.
+// RequestID identifies a request at its home.
 type RequestID struct {
-	// Stream numbers the conversation with the host that asked.
+	// Stream is the number of the placement stream from the host that submitted the request.
 	Stream uint64
-	// Number is the host's own number for the request.
+	// Number is the number that this host has given the request.
 	Number uint64
 }
 
-// Request asks for a place. Times are on the home's clock.
+// Request is a request to be placed on a target. Times are on the home's clock.
 type Request struct {
 	ID RequestID
-	// Class names requests that take about the same work.
+	// Class names a group of requests with a similar service time.
 	Class    string
 	Priority int
-	// Goal is when an answer stops being worth most; Deadline is when it is worth nothing.
+	// Goal is the time from which a response is worth less; Deadline is the time from which it is worth nothing.
 	Goal     time.Duration
 	Deadline time.Duration
-	// Repeatable is set for requests that may run more than once.
+	// Repeatable is set if the request may run more than once, so that it may be hedged.
 	Repeatable bool
-	// Tried names the targets that the request was sent to already.
+	// Tried lists the names of the targets that the request has been sent to. It is empty for the first attempt.
 	Tried []string
-	// Fingerprint is the same for requests with the same caller, path and body.
+	// Fingerprint is a hash of the caller, path and body; 0 means that there is none.
 	Fingerprint uint64
 	// Domain is the failure domain of the host that will send the request.
 	Domain string
@@ -40,32 +47,33 @@
 	queued      bool
 }
 
-// Verdict is what the home decided: Placed, Queued, Refused or Hedge.
+// Verdict is a decision of the home about a request: Placed, Queued, Refused or Hedge.
 type Verdict interface{ verdict() }
 
-// Placed binds the request to a target.
+// Placed assigns the request to a target, where it occupies a slot from now on.
 type Placed struct {
 	Target  string
 	Address string
-	// Expected is how long the run should take, and KnowledgeAge how old the target's last word on its pace is.
+	// Expected is the expected duration of the run, and KnowledgeAge the age of the target's last reported pace.
 	Expected     time.Duration
 	KnowledgeAge time.Duration
 }
 
-// Queued means that the request waits for a place.
+// Queued means that the request waits in the queue. Placed or Refused follows.
 type Queued struct{}
 
-// Refused means that the request gets no place; RetryAfter is when there should be room again.
+// Refused means that the request is not placed. RetryAfter is the delay after which the caller should retry.
 type Refused struct {
 	Reason     Reason
 	RetryAfter time.Duration
-	// Waiting and Slots are how many requests waited and how many slots there were, and Expected what a run should take.
+	// Waiting is the number of queued requests and Slots the number of slots of available targets at the time of the
+	// decision. Expected is the service time of the request.
 	Waiting  int
 	Slots    int
 	Expected time.Duration
 }
 
-// Hedge asks for a second run beside the first, which is late.
+// Hedge asks for a second run on another target, because the first run is late.
 type Hedge Placed
 
 func (Placed) verdict()  {}
@@ -73,10 +81,10 @@
 func (Refused) verdict() {}
 func (Hedge) verdict()   {}
 
-// Reason says why a request was refused.
+// Reason is the reason why a request was refused.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons for refusals.
 const (
 	ReasonNoTargets           Reason = "NoTargets"
 	ReasonDeadlineCannotBeMet Reason = "DeadlineCannotBeMet"
@@ -84,51 +92,52 @@
 	ReasonQuarantined         Reason = "Quarantined"
 )
 
-// Outcome is how a run on a target ended.
+// Outcome is the way in which a run on a target ended.
 type Outcome int
 
-// The outcomes of a run.
+// Outcomes of a run. The values are sent between hosts.
 const (
-	// OutcomeAnswered means that a whole answer came.
+	// OutcomeAnswered means that a complete response was received.
 	OutcomeAnswered Outcome = iota
-	// OutcomeFailed means that the target answered with a failure of its own.
+	// OutcomeFailed means that the target responded with a server error.
 	OutcomeFailed
-	// OutcomeNotRun means that the target said it did not run the request.
+	// OutcomeNotRun means that the target responded that it did not run the request.
 	OutcomeNotRun
-	// OutcomeUnreachable means that no byte of the request reached the target.
+	// OutcomeUnreachable means that the request could not be sent to the target at all.
 	OutcomeUnreachable
-	// OutcomeConnectionBroke means that the connection ended, or nothing usable came, after the request was sent.
+	// OutcomeConnectionBroke means that, after the request was sent, the connection broke or an invalid response came.
 	OutcomeConnectionBroke
-	// OutcomeTimedOut means that no answer came in time.
+	// OutcomeTimedOut means that no response came in time.
 	OutcomeTimedOut
-	// OutcomeCanceled means that the host ended the run; it says nothing of the target.
+	// OutcomeCanceled means that the host canceled the run. It does not count as a failure of the target.
 	OutcomeCanceled
-	// OutcomeOtherServer means that another server has the target's address.
+	// OutcomeOtherServer means that another server responded at the target's address.
 	OutcomeOtherServer
 )
 
-// LoadReport is what a target says of itself.
+// LoadReport is the load that a target reports in the headers of a response.
 type LoadReport struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how long work takes there now, relative to the usual; zero means that it does not say.
+	// Pace is the time that requests take there at present relative to normal, for example 2 if the target is twice as
+	// slow. Zero means that the target does not report it.
 	Pace float64
 }
 
-// run is one run on a target.
+// run is one attempt of a request on a target.
 type run struct {
 	request   *Request
 	target    *targetState
 	startedAt time.Duration
-	// expected is the time that the run was expected to take.
+	// expected is the expected duration at the start.
 	expected time.Duration
-	// slowdown is the factor over the class's base time that was expected.
+	// slowdown is the expected duration relative to the service time of the request's class.
 	slowdown float64
-	// nearlyFull is set when the run took one of the target's last slots.
+	// nearlyFull is set if the run took one of the target's last slots.
 	nearlyFull bool
 }
 
-func (r *Request) removeRun(h *run) {
-	r.runs = slices.DeleteFunc(r.runs, func(other *run) bool { return other == h })
+func (r *Request) removeRun(ended *run) {
+	r.runs = slices.DeleteFunc(r.runs, func(other *run) bool { return other == ended })
 }
--- a/internal/placement/returns.go
+++ b/internal/placement/returns.go
@@ -33,7 +33,7 @@
 		delay = noTargetsRetryDelay
 	case ReasonDeadlineCannotBeMet, ReasonRetryBudgetSpent:
 		if slots := h.availableSlots(now); slots > 0 {
-			delay = max(delay, time.Duration(float64(len(h.queue)+1)/float64(slots)*h.usualPace*float64(h.serviceTime(r))))
+			delay = max(delay, time.Duration(float64(len(h.queue)+1)/float64(slots)*h.averagePace*float64(h.serviceTime(r))))
 		}
 	}
 	return delay + time.Duration(retryDelaySpread*fraction*float64(delay))
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -6,137 +6,142 @@
 	"time"
 )
 
-// Horizons and weights of what is known of a target.
+// Parameters of the state of a target. A decay time is the time constant of an exponential decay.
 const (
-	// paceDecayTime is how long a reported pace stays telling: neighbours' load shifts within a few hundred milliseconds.
+	// paceDecayTime is the decay time of a reported pace. The load that neighbouring workloads put on the target's machine
+	// changes within a few hundred milliseconds.
 	paceDecayTime = 300 * time.Millisecond
-	// maxLoadAge is how long a reported load counts; after it only own runs do.
+	// maxLoadAge is how long a reported load is used. After that, only the runs that this home has placed are counted.
 	maxLoadAge = 100 * time.Millisecond
-	// transitTime is how long a request may be on its way to a target that does not count it yet.
+	// transitTime is the longest time between the placement of a run and the target's load reports counting it.
 	transitTime = 8 * time.Millisecond
-	// failureDecayTime is how long a failure makes a target less attractive.
+	// failureDecayTime is the decay time of a target's failure rate.
 	failureDecayTime = 3 * time.Second
-	// failureGain is the weight of one outcome in the moving share of failures.
+	// failureGain is the weight of one outcome in the moving average of the failure rate.
 	failureGain = 0.25
-	// failurePenalty is how much longer than usual a run is taken to last at a target where every run fails.
+	// failurePenalty makes a run on a target where every run fails count as 1+failurePenalty times as long.
 	failurePenalty = 6.0
-	// warmUpSlowdown is how much slower a target is taken to be right after its start, as long as it doesn't say.
+	// warmUpSlowdown is the factor by which a target is assumed to be slower while it warms up, unless it reports its pace.
 	warmUpSlowdown = 2.0
-	// overdueRatio is the age of a run, in expected times, from which its target looks stuck.
+	// overdueRatio is the age of a run, relative to its expected duration, from which the run is overdue and its target is
+	// assumed to be slow or hung.
 	overdueRatio = 2.0
-	// nearlyFullShare is the part of a target's slots beyond which one more run may slow it down.
+	// nearlyFullShare is the share of used slots above which a target is nearly full and may slow down.
 	nearlyFullShare = 0.8
-	// longestEjection and firstEjection bound how long a failing target is left out.
+	// minEjection is the duration of a target's first ejection. It doubles with each further one, up to maxEjection.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
-	// failuresToEject is how many failures in a row take a target out.
+	// failuresToEject is the number of consecutive failures after which a target is ejected.
 	failuresToEject = 3
 )
 
-// Target is one target as it describes itself.
+// Target is a backend server as it has registered itself.
 type Target struct {
 	Name    string
 	Address string
 	Domain  string
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Draining is set once it takes no new work.
+	// Draining is set when it accepts no new requests.
 	Draining bool
-	// WarmUpLeft is how long it stays slow, counted from when this was told.
+	// WarmUpLeft is how long it remains slow after its start, counted from the registration.
 	WarmUpLeft time.Duration
-	// Incarnation identifies one start of the target; another value means that it holds and knows nothing of before.
+	// Incarnation changes with each start of the target. State of an earlier incarnation is discarded.
 	Incarnation int64
 }
 
-// targetState is what the home knows of one target.
+// targetState is the home's state of one target.
 type targetState struct {
 	Target
 	warmUpUntil time.Duration
 	runs        []*run
-	// pace is the last one reported, at pacedAt.
+	// pace is the last pace that the target reported, at paceAt.
 	pace   float64
 	paceAt time.Duration
-	// reportedLoad is how many requests the target held by its last report, at seenAt.
+	// reportedLoad is the number of running and waiting requests in the target's last load report, at loadAt.
 	reportedLoad int
 	loadAt       time.Duration
-	// failureRate is the moving share of runs that failed, last changed at failedAt.
+	// failureRate is the moving average of the share of runs that failed, last updated at failureRateAt.
 	failureRate         float64
 	failureRateAt       time.Duration
 	consecutiveFailures int
-	// answeredAt is when a run last ended with an answer.
+	// answeredAt is when a run last ended with a response.
 	answeredAt   time.Duration
 	ejectedUntil time.Duration
-	ejections    int
-	// ejectionReported is whether the target was ejected when that was last told.
+	// ejections counts the ejections since the last success.
+	ejections int
+	// ejectionReported is set if the last call of OnEjection for this target reported it as ejected.
 	ejectionReported bool
 	probe            probeState
-	otherServer      bool
+	// otherServer is set while another server answers at the target's address.
+	otherServer bool
 }
 
-// decay returns how much knowledge of an age still counts, from 1 down to 0.
-func decay(age, horizon time.Duration) float64 {
+// decay returns the weight of a value of the given age, which falls exponentially from 1 to 0.
+func decay(age, decayTime time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp(-float64(age) / float64(horizon))
+	return math.Exp(-float64(age) / float64(decayTime))
 }
 
-// load returns how many requests the target holds, whoever sent them. A fresh report goes before own counts: runs whose
-// answers were lost hold no slot any more.
+// load returns the number of requests on the target, including those that this home has not placed. A recent load report
+// takes precedence over the count of runs, because runs whose response was lost no longer occupy a slot.
 func (t *targetState) load(now time.Duration) int {
 	if now-t.loadAt > maxLoadAge {
 		return len(t.runs)
 	}
 	load := t.reportedLoad
-	for _, h := range t.runs {
-		if h.startedAt > t.loadAt-transitTime {
+	for _, active := range t.runs {
+		if active.startedAt > t.loadAt-transitTime {
 			load++
 		}
 	}
 	return load
 }
 
-// inService reports whether the target may get requests at all.
+// inService reports whether the target accepts new requests and its address is still its own.
 func (t *targetState) inService() bool { return !t.Draining && !t.otherServer }
 
-// available reports whether nothing speaks against the target now.
+// available reports whether the target is in service, not ejected and not down.
 func (t *targetState) available(now time.Duration) bool {
 	return t.inService() && now >= t.ejectedUntil && !t.probe.down
 }
 
-// slowdown returns how much longer than the base time a run that starts now should take.
-func (t *targetState) slowdown(now time.Duration, usualPace, crowding float64) (factor float64, crowded bool) {
-	known := decay(now-t.paceAt, paceDecayTime)
+// slowdown returns the expected duration of a run that starts now relative to its service time, and whether the run would
+// take one of the target's last slots.
+func (t *targetState) slowdown(now time.Duration, averagePace, nearlyFullSlowdown float64) (factor float64, nearlyFull bool) {
+	weight := decay(now-t.paceAt, paceDecayTime)
 	if t.pace == 0 {
-		known = 0
+		weight = 0
 	}
-	unknown := usualPace
+	assumed := averagePace
 	if now < t.warmUpUntil {
-		// A report shows the pace as it is, warming up included.
-		unknown *= warmUpSlowdown
+		// Only the assumed pace is corrected, because a reported pace includes the effect of warming up.
+		assumed *= warmUpSlowdown
 	}
-	factor = t.pace*known + unknown*(1-known)
-	crowded = float64(t.load(now)+1) > nearlyFullShare*float64(t.Slots)
-	if crowded {
-		factor *= crowding
+	factor = t.pace*weight + assumed*(1-weight)
+	nearlyFull = float64(t.load(now)+1) > nearlyFullShare*float64(t.Slots)
+	if nearlyFull {
+		factor *= nearlyFullSlowdown
 	}
 	factor *= 1 + failurePenalty*t.failureRate*decay(now-t.failureRateAt, failureDecayTime)
-	return factor * t.overdueFactor(now), crowded
+	return factor * t.overdueFactor(now), nearlyFull
 }
 
-// overdueFactor returns a factor above 1 when runs on the target are overdue and none has ended since.
+// overdueFactor returns a factor above 1 if a run on the target is overdue and the target has sent no response since.
 func (t *targetState) overdueFactor(now time.Duration) float64 {
 	worst := 1.0
-	for _, h := range t.runs {
-		age := now - max(h.startedAt, t.answeredAt)
-		if ratio := float64(age) / float64(max(time.Millisecond, h.expected)); ratio > overdueRatio {
+	for _, active := range t.runs {
+		age := now - max(active.startedAt, t.answeredAt)
+		if ratio := float64(age) / float64(max(time.Millisecond, active.expected)); ratio > overdueRatio {
 			worst = max(worst, ratio)
 		}
 	}
 	return worst
 }
 
-// recordLoad takes in the target's own word.
+// recordLoad updates the state from a load report.
 func (t *targetState) recordLoad(now time.Duration, l LoadReport) {
 	if l.Pace > 0 {
 		t.pace, t.paceAt = l.Pace, now
@@ -147,7 +152,7 @@
 	t.reportedLoad, t.loadAt = l.Running+l.Waiting, now
 }
 
-// recordSuccess takes in a run that ended well.
+// recordSuccess updates the state after a run that was answered.
 func (t *targetState) recordSuccess(now time.Duration) {
 	t.answeredAt = now
 	t.consecutiveFailures = 0
@@ -156,7 +161,8 @@
 	t.failureRateAt = now
 }
 
-// recordFailure takes in a run that ended badly, and ejects the target after several in a row when that is allowed.
+// recordFailure updates the state after a failed run, and ejects the target after failuresToEject consecutive failures if
+// mayEject is set.
 func (t *targetState) recordFailure(now time.Duration, mayEject bool) {
 	t.failureRate = t.failureRate*decay(now-t.failureRateAt, failureDecayTime)*(1-failureGain) + failureGain
 	t.failureRateAt = now
@@ -168,6 +174,6 @@
 	t.ejections++
 }
 
-func (t *targetState) removeRun(h *run) {
-	t.runs = slices.DeleteFunc(t.runs, func(other *run) bool { return other == h })
+func (t *targetState) removeRun(ended *run) {
+	t.runs = slices.DeleteFunc(t.runs, func(other *run) bool { return other == ended })
 }
