--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// testHome collects what a home decides.
+// testHome is a home with a simulated clock that records its verdicts by request number.
 type testHome struct {
 	home       *Home
 	verdicts   map[uint64][]Verdict
@@ -23,130 +23,134 @@
 	lastNumber uint64
 }
 
-// newTestHome returns a home with so many targets of three slots, all known to be at their usual pace.
+// newTestHome returns a home with the given number of targets. Each has three slots and has just reported a pace of 1.
 func newTestHome(targets int, budget RetryBudget) *testHome {
-	d := &testHome{verdicts: map[uint64][]Verdict{}, now: time.Minute}
-	d.home = New(Config{Random: rand.New(rand.NewPCG(1, 1)), Budget: budget, OnVerdict: func(r *Request, v Verdict) {
-		d.verdicts[r.ID.Number] = append(d.verdicts[r.ID.Number], v)
+	f := &testHome{verdicts: map[uint64][]Verdict{}, now: time.Minute}
+	f.home = New(Config{Random: rand.New(rand.NewPCG(1, 1)), Budget: budget, OnVerdict: func(r *Request, v Verdict) {
+		f.verdicts[r.ID.Number] = append(f.verdicts[r.ID.Number], v)
 	}})
 	var list []Target
 	for i := range targets {
 		list = append(list, Target{Name: fmt.Sprintf("t%d", i), Address: "10.0.0.1:80", Domain: "a", Slots: 3})
 	}
-	d.home.SetTargets(d.now, list)
-	d.reportPace(1)
-	return d
+	f.home.SetTargets(f.now, list)
+	f.reportPace(1)
+	return f
 }
 
-// reportPace lets every target report a pace.
-func (d *testHome) reportPace(pace float64) {
-	for _, t := range d.home.targets {
-		d.home.RecordProbe(d.now, t.Name, ProbeHealthy, &LoadReport{Running: len(t.runs), Slots: 3, Pace: pace})
+// reportPace records a successful probe of every target, with the given pace.
+func (f *testHome) reportPace(pace float64) {
+	for _, t := range f.home.targets {
+		f.home.RecordProbe(f.now, t.Name, ProbeHealthy, &LoadReport{Running: len(t.runs), Slots: 3, Pace: pace})
 	}
 }
 
-// submit offers a request with a goal of 250 ms and returns its number.
-func (d *testHome) submit(change func(*Request)) uint64 {
-	d.lastNumber++
-	r := &Request{ID: RequestID{Number: d.lastNumber}, Class: "c", Goal: d.now + 250*time.Millisecond, Deadline: d.now + time.Second, Domain: "a"}
+// submit submits a request with a goal of 250 ms and a deadline of 1 s, changed by change, and returns its number.
+func (f *testHome) submit(change func(*Request)) uint64 {
+	f.lastNumber++
+	r := &Request{ID: RequestID{Number: f.lastNumber}, Class: "c", Goal: f.now + 250*time.Millisecond, Deadline: f.now + time.Second, Domain: "a"}
 	if change != nil {
 		change(r)
 	}
-	d.home.Submit(d.now, r)
+	f.home.Submit(f.now, r)
 	return r.ID.Number
 }
 
-// lastVerdict returns the newest verdict on a request.
-func (d *testHome) lastVerdict(number uint64) Verdict {
-	list := d.verdicts[number]
+// lastVerdict returns the latest verdict on a request, or nil.
+func (f *testHome) lastVerdict(number uint64) Verdict {
+	list := f.verdicts[number]
 	if len(list) == 0 {
 		return nil
 	}
 	return list[len(list)-1]
 }
 
-// placedOn returns the target of a request, or nothing when it has none.
-func (d *testHome) placedOn(number uint64) string {
-	if p, is := d.lastVerdict(number).(Placed); is {
+// placedOn returns the target of a request, or "" if it is not placed.
+func (f *testHome) placedOn(number uint64) string {
+	if p, is := f.lastVerdict(number).(Placed); is {
 		return p.Target
 	}
 	return ""
 }
 
-func (d *testHome) endRun(number uint64, outcome Outcome) {
-	d.home.RunEnded(d.now, RunEnd{ID: RequestID{Number: number}, Target: d.placedOn(number), Outcome: outcome, Duration: 90 * time.Millisecond, Load: &LoadReport{Running: 1, Slots: 3, Pace: 1}})
+func (f *testHome) endRun(number uint64, outcome Outcome) {
+	f.home.RunEnded(f.now, RunEnd{ID: RequestID{Number: number}, Target: f.placedOn(number), Outcome: outcome, Duration: 90 * time.Millisecond, Load: &LoadReport{Running: 1, Slots: 3, Pace: 1}})
 }
 
 var ampleBudget = RetryBudget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
-// TestBindsLate offers more requests than there are slots: the rest waits, and goes to the first slot that comes free.
+// TestBindsLate submits more requests than there are slots: the last one is queued, and placed when the first slot
+// becomes free.
 func TestBindsLate(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(2, ampleBudget)
+	f := newTestHome(2, ampleBudget)
 	for range 6 {
-		is.True(d.placedOn(d.submit(nil)) != "")
+		is.True(f.placedOn(f.submit(nil)) != "")
 	}
-	waiting := d.submit(nil)
-	is.Equal(d.lastVerdict(waiting), Queued{})
-	d.endRun(1, OutcomeAnswered)
-	is.True(d.placedOn(waiting) != "")
+	waiting := f.submit(nil)
+	is.Equal(f.lastVerdict(waiting), Queued{})
+	f.endRun(1, OutcomeAnswered)
+	is.True(f.placedOn(waiting) != "")
 }
 
-// TestAvoidsNoisyTargets lets neighbours slow one target down: requests that have time go elsewhere, or wait for that.
+// TestAvoidsNoisyTargets slows one of two targets down, as a noisy neighbour does: requests are placed on the other one,
+// or queued for it while their goal allows.
 func TestAvoidsNoisyTargets(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(2, ampleBudget)
-	d.home.RecordProbe(d.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 4})
+	f := newTestHome(2, ampleBudget)
+	f.home.RecordProbe(f.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 4})
 	for range 3 {
-		is.Equal(d.placedOn(d.submit(nil)), "t1")
+		is.Equal(f.placedOn(f.submit(nil)), "t1")
 	}
-	is.Equal(d.lastVerdict(d.submit(nil)), Queued{})
+	is.Equal(f.lastVerdict(f.submit(nil)), Queued{})
 }
 
-// TestWaitsForFreshKnowledge offers a request after a quiet second: it waits for probes, and at most for freshWait.
-func TestWaitsForFreshKnowledge(t *testing.T) {
+// TestWaitsForProbes submits requests after a second without load reports: they wait for the result of a probe, but not
+// longer than maxProbeWait.
+func TestWaitsForProbes(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(4, ampleBudget)
-	d.now += time.Second
-	number := d.submit(nil)
-	is.Equal(d.lastVerdict(number), Queued{})
-	due := d.home.DueProbes(d.now)
+	f := newTestHome(4, ampleBudget)
+	f.now += time.Second
+	number := f.submit(nil)
+	is.Equal(f.lastVerdict(number), Queued{})
+	due := f.home.DueProbes(f.now)
 	is.True(len(due) >= targetsProbedAtOnce)
 	for _, p := range due {
-		d.home.RecordProbe(d.now+3*time.Millisecond, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
+		f.home.RecordProbe(f.now+3*time.Millisecond, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	}
-	is.True(d.placedOn(number) != "")
-	d.now += time.Second
-	silent := d.submit(nil)
-	d.now += maxProbeWait
-	d.home.Tick(d.now)
-	is.True(d.placedOn(silent) != "")
+	is.True(f.placedOn(number) != "")
+	f.now += time.Second
+	unprobed := f.submit(nil)
+	f.now += maxProbeWait
+	f.home.Tick(f.now)
+	is.True(f.placedOn(unprobed) != "")
 }
 
-// TestOrdersQueue lets requests of two ranks wait: the higher one goes first, then the one with more time left.
+// TestOrdersQueue queues requests of two priorities: the one of the higher priority is placed first, then the one with the
+// latest goal.
 func TestOrdersQueue(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(1, ampleBudget)
+	f := newTestHome(1, ampleBudget)
 	for range 3 {
-		d.submit(nil)
+		f.submit(nil)
 	}
-	old := d.submit(func(r *Request) { r.Priority = 2 })
-	d.now += 10 * time.Millisecond
-	young := d.submit(func(r *Request) { r.Priority = 2 })
-	urgent := d.submit(func(r *Request) { r.Priority = 1 })
-	for i, want := range []uint64{urgent, young, old} {
-		d.endRun(uint64(i+1), OutcomeAnswered)
-		is.True(d.placedOn(want) != "")
+	earlier := f.submit(func(r *Request) { r.Priority = 2 })
+	f.now += 10 * time.Millisecond
+	later := f.submit(func(r *Request) { r.Priority = 2 })
+	urgent := f.submit(func(r *Request) { r.Priority = 1 })
+	for i, want := range []uint64{urgent, later, earlier} {
+		f.endRun(uint64(i+1), OutcomeAnswered)
+		is.True(f.placedOn(want) != "")
 	}
 }
 
-// TestRefusesAtOnce offers what can't be served: it is refused when it comes, with a time to return.
+// TestRefusesAtOnce submits requests that cannot be served: they are refused immediately, with a retry delay.
 func TestRefusesAtOnce(t *testing.T) {
 	cases := []struct {
-		name   string
-		desk   func() *testHome
-		change func(*Request)
-		reason Reason
+		name    string
+		newHome func() *testHome
+		change  func(*Request)
+		reason  Reason
 	}{
 		{"no targets", func() *testHome { return newTestHome(0, ampleBudget) }, nil, ReasonNoTargets},
 		{"no time", func() *testHome { return newTestHome(2, ampleBudget) }, func(r *Request) { r.Deadline = r.Goal - 240*time.Millisecond }, ReasonDeadlineCannotBeMet},
@@ -155,8 +159,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d := c.desk()
-			r, refused := d.lastVerdict(d.submit(c.change)).(Refused)
+			f := c.newHome()
+			r, refused := f.lastVerdict(f.submit(c.change)).(Refused)
 			is.True(refused)
 			is.Equal(r.Reason, c.reason)
 			is.True(r.RetryAfter > 0)
@@ -164,112 +168,116 @@
 	}
 }
 
-// TestRetryDelaysAreSpread refuses many callers at once: they are told to come back at different times.
+// TestRetryDelaysAreSpread refuses many callers at once: they get different retry delays, so that they do not retry
+// together.
 func TestRetryDelaysAreSpread(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(0, ampleBudget)
-	least, most := time.Hour, time.Duration(0)
+	f := newTestHome(0, ampleBudget)
+	shortest, longest := time.Hour, time.Duration(0)
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		after := d.lastVerdict(d.submit(nil)).(Refused).RetryAfter
-		least, most = min(least, after), max(most, after)
-		seen[after] = true
+		delay := f.lastVerdict(f.submit(nil)).(Refused).RetryAfter
+		shortest, longest = min(shortest, delay), max(longest, delay)
+		seen[delay] = true
 	}
 	is.Equal(len(seen), 50)
-	is.True(most-least > time.Duration(0.9*retryDelaySpread*float64(least)))
+	is.True(longest-shortest > time.Duration(0.9*retryDelaySpread*float64(shortest)))
 }
 
-// TestEjectsWithAFloor breaks runs on every target: at least half of them stay in.
-func TestEjectsWithAFloor(t *testing.T) {
+// TestEjectsAtMostHalf lets runs fail on every target: at least half of the targets stay available.
+func TestEjectsAtMostHalf(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(4, ampleBudget)
-	d.home.serviceTimes["patient"] = 0.09
+	f := newTestHome(4, ampleBudget)
+	f.home.serviceTimes["patient"] = 0.09
 	for range 40 {
-		number := d.submit(func(r *Request) { r.Class, r.Goal, r.Deadline = "patient", d.now+time.Minute, d.now+2*time.Minute })
-		if d.placedOn(number) != "" {
-			d.endRun(number, OutcomeTimedOut)
+		number := f.submit(func(r *Request) { r.Class, r.Goal, r.Deadline = "patient", f.now+time.Minute, f.now+2*time.Minute })
+		if f.placedOn(number) != "" {
+			f.endRun(number, OutcomeTimedOut)
 		}
 	}
-	sound := 0
-	for _, x := range d.home.targets {
-		if x.available(d.now) {
-			sound++
+	available := 0
+	for _, x := range f.home.targets {
+		if x.available(f.now) {
+			available++
 		}
 	}
-	is.True(sound >= 2)
-	is.True(sound < 4)
+	is.True(available >= 2)
+	is.True(available < 4)
 }
 
-// TestEjectionsAreReported lets runs at one target fail until it is taken out, and waits until it is back.
+// TestEjectionsAreReported lets runs on a target fail until it is ejected, and waits for the end of the ejection: each is
+// reported once.
 func TestEjectionsAreReported(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(4, ampleBudget)
-	var told []Ejection
-	d.home.config.OnEjection = func(e Ejection) { told = append(told, e) }
+	f := newTestHome(4, ampleBudget)
+	var ejections []Ejection
+	f.home.config.OnEjection = func(e Ejection) { ejections = append(ejections, e) }
 	for range failuresToEject {
-		d.home.byName["t0"].recordFailure(d.now, true)
+		f.home.byName["t0"].recordFailure(f.now, true)
 	}
-	d.home.Tick(d.now)
-	d.home.Tick(d.now)
-	is.Equal(told, []Ejection{{"t0", true, failuresToEject}})
-	d.now += minEjection
-	d.home.Tick(d.now)
-	is.Equal(len(told), 2)
-	is.Equal(told[1].Ejected, false)
+	f.home.Tick(f.now)
+	f.home.Tick(f.now)
+	is.Equal(ejections, []Ejection{{"t0", true, failuresToEject}})
+	f.now += minEjection
+	f.home.Tick(f.now)
+	is.Equal(len(ejections), 2)
+	is.Equal(ejections[1].Ejected, false)
 }
 
-// TestQuarantine runs a request that breaks each target: it reaches crashesToQuarantine targets and no more.
+// TestQuarantine submits a request that breaks the connection of each target: it is sent to crashesToQuarantine targets
+// and then refused.
 func TestQuarantine(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(8, ampleBudget)
+	f := newTestHome(8, ampleBudget)
 	placed := 0
 	for range 10 {
-		number := d.submit(func(r *Request) { r.Fingerprint = 7 })
-		if d.placedOn(number) != "" {
+		number := f.submit(func(r *Request) { r.Fingerprint = 7 })
+		if f.placedOn(number) != "" {
 			placed++
-			d.endRun(number, OutcomeConnectionBroke)
+			f.endRun(number, OutcomeConnectionBroke)
 			continue
 		}
-		is.Equal(d.lastVerdict(number).(Refused).Reason, ReasonQuarantined)
+		is.Equal(f.lastVerdict(number).(Refused).Reason, ReasonQuarantined)
 	}
 	is.Equal(placed, crashesToQuarantine)
-	is.True(d.placedOn(d.submit(func(r *Request) { r.Fingerprint = 8 })) != "")
+	is.True(f.placedOn(f.submit(func(r *Request) { r.Fingerprint = 8 })) != "")
 }
 
-// TestLostAnswersFreeSlots loses answers: a target that reports free slots gets requests again at once.
+// TestLostAnswersFreeSlots loses the responses of all runs on a target: once the target reports that its slots are free,
+// the queued request is placed there.
 func TestLostAnswersFreeSlots(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(1, ampleBudget)
+	f := newTestHome(1, ampleBudget)
 	for range 3 {
-		d.submit(nil)
+		f.submit(nil)
 	}
-	waiting := d.submit(nil)
-	d.now += 120 * time.Millisecond
-	is.Equal(d.lastVerdict(waiting), Queued{})
-	d.home.RecordProbe(d.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
-	is.True(d.placedOn(waiting) != "")
+	waiting := f.submit(nil)
+	f.now += 120 * time.Millisecond
+	is.Equal(f.lastVerdict(waiting), Queued{})
+	f.home.RecordProbe(f.now, "t0", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
+	is.True(f.placedOn(waiting) != "")
 }
 
-// TestHedges lets a run of a repeatable request grow late: a second one starts elsewhere, once, and never for one that
-// must not run twice.
+// TestHedges lets a run take too long: a repeatable request is hedged once, on another target, and one that is not
+// repeatable is not hedged.
 func TestHedges(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		t.Run(fmt.Sprint(repeatable), func(t *testing.T) {
 			is := is.New(t)
-			d := newTestHome(3, ampleBudget)
-			number := d.submit(func(r *Request) { r.Repeatable = repeatable })
-			first := d.placedOn(number)
+			f := newTestHome(3, ampleBudget)
+			number := f.submit(func(r *Request) { r.Repeatable = repeatable })
+			first := f.placedOn(number)
 			hedges := 0
 			for range 100 {
-				d.now += 10 * time.Millisecond
-				d.reportPace(1)
-				d.home.Tick(d.now)
+				f.now += 10 * time.Millisecond
+				f.reportPace(1)
+				f.home.Tick(f.now)
 			}
-			for _, v := range d.verdicts[number] {
+			for _, v := range f.verdicts[number] {
 				if h, is := v.(Hedge); is {
 					hedges++
 					if h.Target == first {
-						t.Fatal("the second run went to the first one's target")
+						t.Fatal("the hedge was placed on the same target as the first run")
 					}
 				}
 			}
@@ -278,197 +286,200 @@
 	}
 }
 
-// TestSilentTargetIsLeftOut leaves probes without an answer.
-func TestSilentTargetIsLeftOut(t *testing.T) {
+// TestUnresponsiveTargetIsNotUsed leaves the probe of one target without a response: requests are placed on the other.
+func TestUnresponsiveTargetIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(2, ampleBudget)
-	d.submit(nil)
-	d.now += probeInterval
-	is.Equal(len(d.home.DueProbes(d.now)), 2)
-	d.home.RecordProbe(d.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
-	d.now += probeTimeout + time.Millisecond
-	d.home.Tick(d.now)
-	d.home.RecordProbe(d.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
+	f := newTestHome(2, ampleBudget)
+	f.submit(nil)
+	f.now += probeInterval
+	is.Equal(len(f.home.DueProbes(f.now)), 2)
+	f.home.RecordProbe(f.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
+	f.now += probeTimeout + time.Millisecond
+	f.home.Tick(f.now)
+	f.home.RecordProbe(f.now, "t1", ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 	for range 3 {
-		is.Equal(d.placedOn(d.submit(nil)), "t1")
+		is.Equal(f.placedOn(f.submit(nil)), "t1")
 	}
 }
 
-// TestWarmingEnds sets the same targets again and again: one that warms up does so for its time only.
+// TestWarmingEnds repeats SetTargets with an unchanged target that is warming up: this must not prolong its warm-up.
 func TestWarmingEnds(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(1, ampleBudget)
+	f := newTestHome(1, ampleBudget)
 	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
 	for range 20 {
-		d.home.SetTargets(d.now, list)
-		d.now += 100 * time.Millisecond
+		f.home.SetTargets(f.now, list)
+		f.now += 100 * time.Millisecond
 	}
-	is.True(d.home.byName["new"].warmUpUntil < d.now)
+	is.True(f.home.byName["new"].warmUpUntil < f.now)
 }
 
-// TestIdleServiceIsNotProbed leaves a service alone: no probes go out until the next request, which finds all targets in.
+// TestIdleServiceIsNotProbed sends no requests for some time: probing stops after busyPeriod. The next request resumes it,
+// and targets that were down are probed too.
 func TestIdleServiceIsNotProbed(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(3, ampleBudget)
-	number := d.submit(nil)
-	d.endRun(number, OutcomeUnreachable)
+	f := newTestHome(3, ampleBudget)
+	number := f.submit(nil)
+	f.endRun(number, OutcomeUnreachable)
 	for range 100 {
-		d.now += 100 * time.Millisecond
-		d.home.Tick(d.now)
-		for _, p := range d.home.DueProbes(d.now) {
-			d.home.RecordProbe(d.now, p.Target, ProbeNoResponse, nil)
+		f.now += 100 * time.Millisecond
+		f.home.Tick(f.now)
+		for _, p := range f.home.DueProbes(f.now) {
+			f.home.RecordProbe(f.now, p.Target, ProbeNoResponse, nil)
 		}
 	}
-	before := d.now - busyPeriod
-	for _, x := range d.home.targets {
+	before := f.now - busyPeriod
+	for _, x := range f.home.targets {
 		is.True(x.probe.sentAt < before)
 		is.True(x.probe.down)
 	}
-	again := d.submit(nil)
-	is.Equal(d.lastVerdict(again), Queued{}) // it waits for fresh knowledge
-	is.Equal(len(d.home.DueProbes(d.now)), 3)
+	again := f.submit(nil)
+	is.Equal(f.lastVerdict(again), Queued{}) // it waits for the results of probes
+	is.Equal(len(f.home.DueProbes(f.now)), 3)
 }
 
-// TestBudgetHolds spends repeats in any pattern: in no sliding window are there more than the ratio and slack allow. The
-// requests are those of the window itself, the one before it or the one half a window before, whichever has most, as the
-// service's owners count them.
-func TestBudgetHolds(t *testing.T) {
+// TestRetryBudgetIsNeverExceeded spends extra attempts in random patterns: no sliding window has more of them than the
+// ratio and slack allow. The ratio applies to the requests of that window, of the window before it or of the one half a
+// window earlier, whichever is highest, which is how the owners of the services count.
+func TestRetryBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := RetryBudget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
-		type moment struct {
-			at           time.Duration
-			first, extra int
+		type step struct {
+			at                      time.Duration
+			requests, extraAttempts int
 		}
-		var history []moment
+		var history []step
 		now := time.Minute
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond
-			m := moment{at: now, first: rapid.IntRange(0, 20).Draw(t, "first")}
-			for range m.first {
+			s := step{at: now, requests: rapid.IntRange(0, 20).Draw(t, "first")}
+			for range s.requests {
 				b.AddRequest(now)
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "wanted") {
 				if b.Spend(now, 0) {
-					m.extra++
+					s.extraAttempts++
 				}
 			}
-			history = append(history, m)
+			history = append(history, s)
 		}
-		sum := func(end time.Duration) (first, extra int) {
+		sum := func(end time.Duration) (requests, extraAttempts int) {
 			for _, m := range history {
 				if m.at > end-b.Window && m.at <= end {
-					first += m.first
-					extra += m.extra
+					requests += m.requests
+					extraAttempts += m.extraAttempts
 				}
 			}
-			return first, extra
+			return requests, extraAttempts
 		}
 		for _, m := range history {
-			first, extra := sum(m.at)
+			requests, extraAttempts := sum(m.at)
 			before, _ := sum(m.at - b.Window)
 			half, _ := sum(m.at - b.Window/2)
-			if float64(extra) > b.Ratio*float64(max(first, before, half))+b.Slack {
-				t.Fatalf("%d repeats for %d requests in the window that ends at %v", extra, max(first, before, half), m.at)
+			if float64(extraAttempts) > b.Ratio*float64(max(requests, before, half))+b.Slack {
+				t.Fatalf("%d extra attempts for %d requests in the window that ends at %v", extraAttempts, max(requests, before, half), m.at)
 			}
 		}
 	})
 }
 
-// TestHomeForgets ends conversations and runs in any order: nothing is held in the end.
-func TestHomeForgets(t *testing.T) {
+// TestRequestsAndRunsAreRemoved submits and cancels requests and ends placement streams in random order: when all
+// deadlines have passed, no request and no run is left.
+func TestRequestsAndRunsAreRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newTestHome(3, ampleBudget)
+		f := newTestHome(3, ampleBudget)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				d.submit(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
+				f.submit(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
 			case 2:
-				d.home.EndStream(d.now, uint64(rapid.IntRange(1, 3).Draw(t, "leaving")))
+				f.home.EndStream(f.now, uint64(rapid.IntRange(1, 3).Draw(t, "leaving")))
 			case 3:
-				d.now += 20 * time.Millisecond
-				d.home.Tick(d.now)
+				f.now += 20 * time.Millisecond
+				f.home.Tick(f.now)
 			case 4:
-				for id := range d.home.requests {
-					d.home.CancelQueued(id)
+				for id := range f.home.requests {
+					f.home.CancelQueued(id)
 				}
 			}
 		}
-		d.now += time.Minute
-		d.home.Tick(d.now)
-		if n := len(d.home.requests) + d.home.QueueLength(); n > 0 {
-			t.Fatalf("%d requests are still known", n)
+		f.now += time.Minute
+		f.home.Tick(f.now)
+		if n := len(f.home.requests) + f.home.QueueLength(); n > 0 {
+			t.Fatalf("%d requests were not removed", n)
 		}
-		for _, x := range d.home.targets {
+		for _, x := range f.home.targets {
 			if len(x.runs) > 0 {
-				t.Fatalf("target %s still holds %d runs", x.Name, len(x.runs))
+				t.Fatalf("target %s: %d runs were not removed", x.Name, len(x.runs))
 			}
 		}
 	})
 }
 
-// TestFallbackHomesLimitProbes replays a fleet that has lost touch with a service's home: a hundred hosts decide alone, each on a
-// few requests. Together they must keep to the probes of one home, 20 a target and second.
+// TestFallbackHomesLimitProbes simulates hosts that cannot reach the primary home of a service: a hundred fallback homes
+// get a few requests each. Together they must send no more probes than one primary home, 20 per target and second.
 func TestFallbackHomesLimitProbes(t *testing.T) {
 	is := is.New(t)
 	const hosts, targets, seconds, perHost = 100, 20, 10, 1
 	probes := 0
 	for range hosts {
-		d := newTestHome(targets, ampleBudget)
+		f := newTestHome(targets, ampleBudget)
 		for tick := range seconds * 100 {
-			d.now += tickInterval
+			f.now += tickInterval
 			if tick%(100/perHost) == 0 {
-				d.submit(func(r *Request) { r.Goal, r.Deadline = d.now+time.Second, d.now+time.Second })
+				f.submit(func(r *Request) { r.Goal, r.Deadline = f.now+time.Second, f.now+time.Second })
 			}
-			d.home.Tick(d.now)
-			for _, p := range d.home.DueProbes(d.now) {
+			f.home.Tick(f.now)
+			for _, p := range f.home.DueProbes(f.now) {
 				probes++
-				d.home.RecordProbe(d.now, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
+				f.home.RecordProbe(f.now, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 			}
 		}
 	}
 	perTarget := float64(probes) / targets / seconds
-	t.Logf("%.1f probes a target and second", perTarget)
-	// One probe of each target by each host comes on top, when it begins.
+	t.Logf("%.1f probes per target and second", perTarget)
+	// Each fallback home may send one more probe to each target at its start.
 	is.True(perTarget <= 20+float64(hosts)/seconds)
 }
 
-// TestWarmingTargetsAreUsed replays a service that has lost half of its targets and got new ones, which report that they are
-// twice as slow as usual: a request that can meet its goal there must not wait while their slots stand idle.
+// TestWarmingTargetsAreUsed adds a target that is warming up and reports a pace of 2 to a service whose other targets are
+// full: a request that can meet its goal there must not wait in the queue.
 func TestWarmingTargetsAreUsed(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(2, ampleBudget)
-	d.endRun(d.submit(nil), OutcomeAnswered) // the class takes 90 ms
+	f := newTestHome(2, ampleBudget)
+	f.endRun(f.submit(nil), OutcomeAnswered) // the service time of the class is now 90 ms
 	for range 6 {
-		is.True(d.placedOn(d.submit(nil)) != "")
+		is.True(f.placedOn(f.submit(nil)) != "")
 	}
 	list := []Target{{Name: "new", Address: "10.0.0.2:80", Domain: "a", Slots: 3, WarmUpLeft: 3 * time.Second}}
-	for _, x := range d.home.targets {
+	for _, x := range f.home.targets {
 		list = append(list, x.Target)
 	}
-	d.home.SetTargets(d.now, list)
-	d.home.RecordProbe(d.now, "new", ProbeHealthy, &LoadReport{Slots: 3, Pace: 2})
-	is.Equal(d.placedOn(d.submit(nil)), "new") // 180 ms of 250
+	f.home.SetTargets(f.now, list)
+	f.home.RecordProbe(f.now, "new", ProbeHealthy, &LoadReport{Slots: 3, Pace: 2})
+	is.Equal(f.placedOn(f.submit(nil)), "new") // expected to take 180 ms, with a goal of 250 ms
 }
 
-// TestFormerHomeStillProbes lets another host become the home that all ask first: the former one has not spent its probes.
-func TestFormerHomeStillProbes(t *testing.T) {
+// TestFormerPrimaryHomeStillProbes turns a primary home into a fallback home: its probes as the primary must not have used
+// up its probe credit.
+func TestFormerPrimaryHomeStillProbes(t *testing.T) {
 	is := is.New(t)
-	d := newTestHome(4, ampleBudget)
+	f := newTestHome(4, ampleBudget)
 	probe := func(rounds int) (sent int) {
 		for round := range rounds {
-			d.now += probeInterval
+			f.now += probeInterval
 			if round%4 == 0 {
-				d.endRun(d.submit(nil), OutcomeAnswered)
+				f.endRun(f.submit(nil), OutcomeAnswered)
 			}
-			for _, p := range d.home.DueProbes(d.now) {
+			for _, p := range f.home.DueProbes(f.now) {
 				sent++
-				d.home.RecordProbe(d.now, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
+				f.home.RecordProbe(f.now, p.Target, ProbeHealthy, &LoadReport{Slots: 3, Pace: 1})
 			}
 		}
 		return sent
 	}
-	d.home.SetPrimary(true)
+	f.home.SetPrimary(true)
 	is.True(probe(100) > 100)
-	d.home.SetPrimary(false)
+	f.home.SetPrimary(false)
 	is.True(probe(10) > 10)
 }
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -101,9 +101,9 @@
 	OutcomeAnswered Outcome = iota
 	// OutcomeFailed means that the target responded with a server error.
 	OutcomeFailed
-	// OutcomeNotRun means that the target responded that it did not run the request.
+	// OutcomeNotRun means that the request certainly did not run, in most cases because the target responded so.
 	OutcomeNotRun
-	// OutcomeUnreachable means that the request could not be sent to the target at all.
+	// OutcomeUnreachable means that no byte of the request was sent to the target.
 	OutcomeUnreachable
 	// OutcomeConnectionBroke means that, after the request was sent, the connection broke or an invalid response came.
 	OutcomeConnectionBroke
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -139,8 +139,8 @@
 	is.Equal(b.rejected, 1)
 }
 
-// TestAnyOrder applies the same changes in any order, some of them twice: the view is the same.
-func TestAnyOrder(t *testing.T) {
+// TestApplyInAnyOrder applies the same changes in any order, some of them twice: the view is the same.
+func TestApplyInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []platform.Change
 		last := map[string]string{}
