--- a/internal/meter/budget.go
+++ b/internal/meter/budget.go
@@ -7,34 +7,34 @@
 	"golang.org/x/time/rate"
 )
 
-// Activity names what a measurement costs the budget for.
+// Activity is the kind of a measurement.
 type Activity string
 
-// The activities that measure.
+// Kinds of measurements: a health probe of a backend server, and an exchange of in-flight counts between hosts.
 const (
 	ActivityProbe  Activity = "Probe"
 	ActivityCounts Activity = "Counts"
 )
 
-// Spent is what measuring has cost in one failure domain since the start.
+// Spent is the cost of the measurements in one failure domain since the start of the process.
 type Spent struct {
 	Domain string
 	Probes int64
 	Bytes  int64
-	// Denied counts the measurements that the budget refused.
+	// Denied counts the measurements that the budget did not allow.
 	Denied int64
 }
 
-// BudgetConfig is what measuring may cost; Epoch is where the caller's monotonic clock starts.
+// BudgetConfig limits the cost of measurements. Epoch is the wall-clock time of offset 0 of the caller's monotonic clock.
 type BudgetConfig struct {
 	ProbesPerSec float64
 	BytesPerSec  float64
-	// CoreShare is the share of one core, from 0 to 1.
+	// CoreShare is the share of one processor core, from 0 to 1.
 	CoreShare float64
 	Epoch     time.Time
 }
 
-// Budget is the one limiter that everything that measures asks first.
+// Budget is the rate limiter that all measurements of a host share. It is safe for concurrent use.
 type Budget struct {
 	mu        sync.Mutex
 	config    BudgetConfig
@@ -45,10 +45,10 @@
 	coreSpent time.Duration
 }
 
-// burstPeriod is how much of a budget may be saved up.
+// burstPeriod is the time for which unused budget accumulates.
 const burstPeriod = time.Second
 
-// NewBudget returns a full budget.
+// NewBudget returns a budget of which burstPeriod has accumulated.
 func NewBudget(c BudgetConfig) *Budget {
 	limiter := func(perSec float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(perSec), int(max(1, perSec*burstPeriod.Seconds())))
@@ -59,7 +59,8 @@
 	}
 }
 
-// Allow reports whether a measurement may be made now, and spends its cost in bytes on the failure domain.
+// Allow reports whether a measurement may be made now. If so, it takes the measurement's cost in bytes from the budget and
+// adds it to the costs of the failure domain.
 func (b *Budget) Allow(now time.Duration, activity Activity, domain string, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +84,7 @@
 	return true
 }
 
-// Charge takes processor time that measuring has used off the budget.
+// Charge takes processor time that measurements have used from the budget.
 func (b *Budget) Charge(now, core time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -105,7 +106,7 @@
 	return s
 }
 
-// Usage is what was allowed and what was spent so far.
+// Usage holds the limits of a budget and the costs so far.
 type Usage struct {
 	ProbesPerSec float64
 	BytesPerSec  float64
@@ -114,7 +115,7 @@
 	Domains      []Spent
 }
 
-// Usage returns the budget beside what was spent.
+// Usage returns the limits and the costs so far.
 func (b *Budget) Usage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/meter/budget_test.go
+++ b/internal/meter/budget_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests.
+// TestMain runs the property tests with a fixed seed.
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// TestBudgetIsNeverExceeded drives peaks of measuring and checks every stretch of time against the budget.
+// TestBudgetIsNeverExceeded makes measurements in random bursts and checks each interval against the limits.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := BudgetConfig{
@@ -22,40 +22,40 @@
 			CoreShare:    1, Epoch: time.Unix(0, 0),
 		}
 		b := NewBudget(c)
-		type spend struct {
+		type measurement struct {
 			at    time.Duration
 			bytes int
 		}
-		var spends []spend
+		var measurements []measurement
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
-			// Peaks come without any pause; the long gaps let the budget fill up.
+			// Gaps of 0 make bursts. During long gaps unused budget accumulates.
 			now += time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 5, 40, 900}).Draw(t, "gap")) * time.Millisecond
 			bytes := rapid.IntRange(1, 600).Draw(t, "size")
 			if b.Allow(now, ActivityProbe, "a", bytes) {
-				spends = append(spends, spend{now, bytes})
+				measurements = append(measurements, measurement{now, bytes})
 			}
 		}
-		for i := range spends {
+		for i := range measurements {
 			bytes := 0
-			for j := i; j < len(spends); j++ {
-				bytes += spends[j].bytes
-				stretch := (spends[j].at - spends[i].at + burstPeriod).Seconds()
-				if probes := float64(j - i + 1); probes > c.ProbesPerSec*stretch+1e-6 {
-					t.Fatalf("%v probes in %v s with a budget of %v a second", probes, stretch, c.ProbesPerSec)
+			for j := i; j < len(measurements); j++ {
+				bytes += measurements[j].bytes
+				seconds := (measurements[j].at - measurements[i].at + burstPeriod).Seconds()
+				if probes := float64(j - i + 1); probes > c.ProbesPerSec*seconds+1e-6 {
+					t.Fatalf("%v probes in %v s with a budget of %v per second", probes, seconds, c.ProbesPerSec)
 				}
-				if float64(bytes) > c.BytesPerSec*stretch+1e-6 {
-					t.Fatalf("%d bytes in %v s with a budget of %v a second", bytes, stretch, c.BytesPerSec)
+				if float64(bytes) > c.BytesPerSec*seconds+1e-6 {
+					t.Fatalf("%d bytes in %v s with a budget of %v per second", bytes, seconds, c.BytesPerSec)
 				}
 			}
 		}
-		if u := b.Usage(); len(spends) > 0 && u.Domains[0].Probes != int64(len(spends)) {
-			t.Fatalf("%d probes were allowed and %d are shown", len(spends), u.Domains[0].Probes)
+		if u := b.Usage(); len(measurements) > 0 && u.Domains[0].Probes != int64(len(measurements)) {
+			t.Fatalf("%d probes were allowed, but the usage shows %d", len(measurements), u.Domains[0].Probes)
 		}
 	})
 }
 
-// TestBudgetChargesTheCore checks that processor time already spent holds measuring back.
+// TestBudgetChargesTheCore checks that measurements are denied once their processor time has used up the budget.
 func TestBudgetChargesTheCore(t *testing.T) {
 	b := NewBudget(BudgetConfig{ProbesPerSec: 1000, BytesPerSec: 1e6, CoreShare: 0.01, Epoch: time.Unix(0, 0)})
 	allowed := 0
@@ -65,7 +65,7 @@
 			allowed++
 		}
 	}
-	// 1% of ten seconds is 100 ms, and one second's worth was saved up.
+	// 1% of 10 s is 100 ms, and 10 ms have accumulated at the start.
 	if allowed > 111 || allowed < 100 {
 		t.Fatalf("%d measurements of 1 ms in 10 s with a budget of 1%% of a core", allowed)
 	}
--- a/internal/meter/histogram.go
+++ b/internal/meter/histogram.go
@@ -1,4 +1,5 @@
-// Package meter keeps latency histograms per service and class, and the one budget that everything that measures goes through.
+// Package meter keeps latency histograms by service and request class, and the budget that limits what measurements such as
+// health probes may cost.
 package meter
 
 import (
@@ -10,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency is the highest latency that a histogram tells apart.
+// maxLatency is the highest latency that a histogram records. Higher ones are recorded as maxLatency.
 const maxLatency = 10 * time.Minute
 
-// Key names one histogram.
+// Key identifies a histogram by service and request class.
 type Key struct {
 	Service string
 	Class   string
 }
 
-// Summary is a histogram in a few numbers; times are in microseconds.
+// Summary holds the count, quantiles and maximum of a histogram. Times are in microseconds.
 type Summary struct {
 	Service string
 	Class   string
@@ -30,7 +31,7 @@
 	Max     int64
 }
 
-// Histograms holds a latency histogram per service and class.
+// Histograms holds a latency histogram per service and class. It is safe for concurrent use.
 type Histograms struct {
 	mu    sync.RWMutex
 	byKey map[Key]*lockedHistogram
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,8 @@
-// Package roster keeps what the store says is in force: the configuration and the targets that registered themselves.
-// It knows no sockets and no wall clock: callers pass the time in.
+// Package roster keeps a replica of the platform's store on an entry host: the configuration in force, the targets (backend
+// servers) that have registered themselves, and the addresses of other entry hosts. A configuration results from a note,
+// a numbered release note of an operator; a note with a higher number is newer.
+//
+// The package does no I/O and reads no clock: callers pass changes of the store and the time as a monotonic offset.
 package roster
 
 import (
@@ -13,102 +16,103 @@
 	"briarcroft/internal/platform"
 )
 
-// returnGrace is how long after the store's return a target whose entry lapsed meanwhile stays in use:
-// a living one has registered again by then.
-const returnGrace = 2 * time.Second
+// storeReturnGrace is how long after the end of a store outage a target stays in use whose entry expired during the
+// outage. A target that is still running has registered again by then.
+const storeReturnGrace = 2 * time.Second
 
-// maxTombstones bounds the deletions that are remembered so that an older write can't undo them.
+// maxTombstones is the number of deletions that are remembered, so that an older write that arrives late is ignored.
 const maxTombstones = 4096
 
-// Config sets up a Roster.
+// Config configures a Roster.
 type Config struct {
 	Decode DecodeFunc
-	// OnRejectedEntry is told of entries that can't be used.
+	// OnRejectedEntry is called for each entry that cannot be decoded or is older than the configuration in force.
 	OnRejectedEntry func(key string, err error)
-	// OnChange is told after each change of the view, which may have changed again by then.
+	// OnChange is called after each change of the view. The view may have changed again by then.
 	OnChange func()
 }
 
-// View is what is in force; it is replaced whole and must not be changed.
+// View is an immutable snapshot of the configuration in force, the targets in use and the addresses of entry hosts.
 type View struct {
 	Configuration note.Configuration
-	// Targets lists the targets of each service, sorted by name.
+	// Targets lists the targets of each configured service, sorted by name.
 	Targets map[string][]Target
-	// PeerAddresses are inner addresses of other entry hosts, by store key.
+	// PeerAddresses holds the addresses of entry hosts for traffic between hosts, by store key.
 	PeerAddresses map[string]string
 }
 
-// entryState is the newest knowledge of one key.
+// entryState is the latest known state of one key of the store.
 type entryState struct {
-	change platform.Change
-	item   DecodedEntry
-	// usableUntil is when a removed target goes out of use; zero means at once.
+	change  platform.Change
+	decoded DecodedEntry
+	// usableUntil is when a deleted target goes out of use; zero means immediately.
 	usableUntil time.Duration
 }
 
-// Roster is a replica of the store's entries. It is safe for concurrent use.
+// Roster is a replica of the store. It is safe for concurrent use.
 type Roster struct {
 	config  Config
 	mu      sync.Mutex
 	entries map[string]*entryState
-	// revision is the store revision up to which the replica is whole.
+	// revision is the store revision up to which the replica is complete.
 	revision int64
-	// storeReturnedAt is when the store came back after an outage.
+	// storeReturnedAt is the end of the last store outage.
 	storeReturnedAt time.Duration
-	configured      note.Configuration
-	// configuredBy is the change that brought the configuration in force; newer ones of its key may have been refused.
+	configuration   note.Configuration
+	// configuredBy is the change with the configuration in force. Later changes of its key may have been rejected.
 	configuredBy platform.Change
 	view         atomic.Pointer[View]
-	deletedCount int
+	tombstones   int
 }
 
 // New returns an empty roster.
 func New(c Config) *Roster {
-	r := &Roster{config: c, entries: map[string]*entryState{}, storeReturnedAt: -returnGrace}
+	r := &Roster{config: c, entries: map[string]*entryState{}, storeReturnedAt: -storeReturnGrace}
 	r.view.Store(&View{})
 	return r
 }
 
-// View returns what is in force.
+// View returns the current view.
 func (r *Roster) View() *View { return r.view.Load() }
 
-// Revision returns the store revision up to which the roster is whole.
+// Revision returns the store revision up to which the roster is complete.
 func (r *Roster) Revision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revision
 }
 
-// StoreReturned notes that the store answers again after an outage. It reports whether that is news: several hosts
-// notice the same return.
+// StoreReturned records that the store can be reached again after an outage. It reports false if this was recorded already,
+// because several hosts detect the end of the same outage.
 func (r *Roster) StoreReturned(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now-r.storeReturnedAt < returnGrace {
+	if now-r.storeReturnedAt < storeReturnGrace {
 		return false
 	}
 	r.storeReturnedAt = now
 	return true
 }
 
-// Apply takes in changes that complete the roster up to a revision; it returns the news that others need to come to the same.
-// Changes may come late or twice: for each key the highest revision holds.
+// Apply applies changes that make the roster complete up to a revision. It returns those changes that replicas on other
+// hosts need to reach the same state. Changes may come late or twice: for each key the highest revision wins.
 func (r *Roster) Apply(now time.Duration, changes []platform.Change, revision int64) []platform.Change {
 	r.mu.Lock()
-	var news []platform.Change
+	var updates []platform.Change
 	for _, c := range changes {
 		if r.applyOne(now, c) {
-			news = append(news, c)
+			updates = append(updates, c)
 		}
 	}
 	r.revision = max(r.revision, revision)
-	news = r.dropSuperseded(news)
-	r.unlockAndPublish(len(news) > 0)
-	return news
+	updates = r.dropSuperseded(updates)
+	r.unlockAndPublish(len(updates) > 0)
+	return updates
 }
 
-// dropSuperseded leaves out the changes that later ones of their key replace. A configuration may change many times before a watch
-// answers, and each of its values goes to every follower.
+// dropSuperseded removes the changes that a later change of the same key replaces, except the configuration in force. This
+// limits the traffic between hosts: a configuration may change many times before the store reports it, and every remaining
+// change is sent to each host that replicates from this one.
 func (r *Roster) dropSuperseded(changes []platform.Change) []platform.Change {
 	last := map[string]int64{}
 	for _, c := range changes {
@@ -119,7 +123,7 @@
 	})
 }
 
-// ApplySnapshot takes in a snapshot: keys that it lacks were removed at some time before.
+// ApplySnapshot applies a complete list of the store's entries, as Apply does. Keys that are not in it are deleted.
 func (r *Roster) ApplySnapshot(now time.Duration, entries []platform.Entry, revision int64) []platform.Change {
 	listed := map[string]bool{}
 	changes := make([]platform.Change, 0, len(entries))
@@ -128,8 +132,8 @@
 		changes = append(changes, platform.Change{Entry: e})
 	}
 	r.mu.Lock()
-	for key, known := range r.entries {
-		if !listed[key] && !known.change.Deleted && known.change.Revision <= revision {
+	for key, state := range r.entries {
+		if !listed[key] && !state.change.Deleted && state.change.Revision <= revision {
 			changes = append(changes, platform.Change{Entry: platform.Entry{Key: key, Revision: revision}, Deleted: true})
 		}
 	}
@@ -137,7 +141,7 @@
 	return r.Apply(now, changes, revision)
 }
 
-// applyOne stores one change and reports whether it is news.
+// applyOne applies one change and reports whether replicas on other hosts need it.
 func (r *Roster) applyOne(now time.Duration, c platform.Change) bool {
 	old := r.entries[c.Key]
 	if old != nil && old.change.Revision >= c.Revision {
@@ -146,62 +150,63 @@
 	if c.Deleted {
 		return r.remove(now, old, c)
 	}
-	item, err := r.config.Decode(c.Key, c.Value)
+	decoded, err := r.config.Decode(c.Key, c.Value)
 	if err != nil {
 		r.config.OnRejectedEntry(c.Key, err)
 	}
-	if configured, is := item.(ConfigurationEntry); is {
-		r.setConfiguration(c, configured.Configuration)
+	if entry, is := decoded.(ConfigurationEntry); is {
+		r.setConfiguration(c, entry.Configuration)
 	}
-	r.entries[c.Key] = &entryState{change: c, item: item}
+	r.entries[c.Key] = &entryState{change: c, decoded: decoded}
 	return true
 }
 
-// setConfiguration puts a configuration in force unless it is older than the one that is.
+// setConfiguration puts a configuration in force, unless it is older than the current one.
 func (r *Roster) setConfiguration(change platform.Change, c note.Configuration) {
-	if c.Number < r.configured.Number {
-		r.config.OnRejectedEntry(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configured.Number))
+	if c.Number < r.configuration.Number {
+		r.config.OnRejectedEntry(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configuration.Number))
 		return
 	}
-	r.configured, r.configuredBy = c, change
+	r.configuration, r.configuredBy = c, change
 }
 
-// remove marks a key as deleted; a target stays in use for a while when its entry may only have lapsed with the store.
+// remove marks a key as deleted and reports whether the key was known. After a store outage the entry may only have expired
+// because the target could not renew it, and the target stays in use until storeReturnGrace has passed.
 func (r *Roster) remove(now time.Duration, old *entryState, c platform.Change) bool {
-	next := &entryState{change: c}
-	if old != nil && !old.change.Deleted && now-r.storeReturnedAt < returnGrace {
-		next.item, next.usableUntil = old.item, r.storeReturnedAt+returnGrace
+	state := &entryState{change: c}
+	if old != nil && !old.change.Deleted && now-r.storeReturnedAt < storeReturnGrace {
+		state.decoded, state.usableUntil = old.decoded, r.storeReturnedAt+storeReturnGrace
 	}
-	r.entries[c.Key] = next
-	r.deletedCount++
-	if r.deletedCount > maxTombstones {
+	r.entries[c.Key] = state
+	r.tombstones++
+	if r.tombstones > maxTombstones {
 		r.dropTombstones()
 	}
 	return old != nil
 }
 
 func (r *Roster) dropTombstones() {
-	for key, known := range r.entries {
-		if known.change.Deleted && known.item == nil {
+	for key, state := range r.entries {
+		if state.change.Deleted && state.decoded == nil {
 			delete(r.entries, key)
 		}
 	}
-	r.deletedCount = 0
+	r.tombstones = 0
 }
 
-// Tick ends the use of targets whose entries lapsed and did not come back.
+// Tick ends the use of targets whose entries expired during a store outage and were not registered again.
 func (r *Roster) Tick(now time.Duration) {
 	r.mu.Lock()
 	changed := false
-	for _, known := range r.entries {
-		if known.change.Deleted && known.item != nil && now >= known.usableUntil {
-			known.item, changed = nil, true
+	for _, state := range r.entries {
+		if state.change.Deleted && state.decoded != nil && now >= state.usableUntil {
+			state.decoded, changed = nil, true
 		}
 	}
 	r.unlockAndPublish(changed)
 }
 
-// unlockAndPublish unlocks and, after a change, replaces the view and tells of it.
+// unlockAndPublish unlocks r.mu. If there was a change, it first replaces the view and then calls OnChange.
 func (r *Roster) unlockAndPublish(changed bool) {
 	if !changed {
 		r.mu.Unlock()
@@ -213,15 +218,15 @@
 }
 
 func (r *Roster) buildView() *View {
-	v := &View{Configuration: r.configured, Targets: map[string][]Target{}, PeerAddresses: map[string]string{}}
-	for key, known := range r.entries {
-		switch item := known.item.(type) {
+	v := &View{Configuration: r.configuration, Targets: map[string][]Target{}, PeerAddresses: map[string]string{}}
+	for key, state := range r.entries {
+		switch decoded := state.decoded.(type) {
 		case TargetEntry:
-			if _, named := r.configured.Service(item.Target.Service); named {
-				v.Targets[item.Target.Service] = append(v.Targets[item.Target.Service], item.Target)
+			if _, configured := r.configuration.Service(decoded.Target.Service); configured {
+				v.Targets[decoded.Target.Service] = append(v.Targets[decoded.Target.Service], decoded.Target)
 			}
 		case PeerEntry:
-			v.PeerAddresses[key] = item.Inner
+			v.PeerAddresses[key] = decoded.Inner
 		}
 	}
 	for _, list := range v.Targets {
@@ -230,16 +235,16 @@
 	return v
 }
 
-// AllChanges returns everything the roster holds as changes, oldest first, for a peer that knows nothing, and the revision that it
-// is whole at.
+// AllChanges returns the content of the roster as changes, oldest first, for a new replica, and the revision up to which
+// they are complete.
 func (r *Roster) AllChanges() ([]platform.Change, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]platform.Change, 0, len(r.entries))
-	for _, known := range r.entries {
-		list = append(list, known.change)
+	for _, state := range r.entries {
+		list = append(list, state.change)
 	}
-	if known := r.entries[r.configuredBy.Key]; known != nil && known.change.Revision != r.configuredBy.Revision {
+	if state := r.entries[r.configuredBy.Key]; state != nil && state.change.Revision != r.configuredBy.Revision {
 		list = append(list, r.configuredBy)
 	}
 	slices.SortFunc(list, func(a, b platform.Change) int { return cmp.Compare(a.Revision, b.Revision) })
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// decode reads the entries of these tests: "config" holds a number, "t/NAME" an address.
+// decode decodes the entries of these tests: "config" holds the number of a configuration, "t/NAME" a target's address.
 func decode(key string, value []byte) (DecodedEntry, error) {
 	switch {
 	case key == "config":
@@ -37,16 +37,16 @@
 	return nil, nil
 }
 
-// testRoster counts what a roster tells.
+// testRoster is a roster that counts its callbacks.
 type testRoster struct {
 	*Roster
 	rejected, changes int
 }
 
 func newTestRoster() *testRoster {
-	b := &testRoster{}
-	b.Roster = New(Config{Decode: decode, OnRejectedEntry: func(string, error) { b.rejected++ }, OnChange: func() { b.changes++ }})
-	return b
+	r := &testRoster{}
+	r.Roster = New(Config{Decode: decode, OnRejectedEntry: func(string, error) { r.rejected++ }, OnChange: func() { r.changes++ }})
+	return r
 }
 
 func put(key, value string, revision int64) platform.Change {
@@ -57,49 +57,50 @@
 	return platform.Change{Entry: platform.Entry{Key: key, Revision: revision}, Deleted: true}
 }
 
-func (b *testRoster) targets() int { return len(b.View().Targets["s"]) }
+func (r *testRoster) targets() int { return len(r.View().Targets["s"]) }
 
-// TestIgnoresOlderChanges applies changes late and twice, and a configuration with a lower number.
+// TestIgnoresOlderChanges applies changes late and twice, a configuration with a lower number and one that cannot be
+// decoded: the configuration in force stays.
 func TestIgnoresOlderChanges(t *testing.T) {
 	is := is.New(t)
-	b := newTestRoster()
-	b.Apply(time.Minute, []platform.Change{put("config", "7", 5)}, 5)
-	is.Equal(len(b.Apply(time.Minute, []platform.Change{put("config", "6", 4), put("config", "7", 5)}, 5)), 0)
-	b.Apply(time.Minute, []platform.Change{put("config", "3", 9)}, 9)
-	is.Equal(b.View().Configuration.Number, 7)
-	is.Equal(b.rejected, 1)
-	b.Apply(time.Minute, []platform.Change{put("config", "odd", 10)}, 10)
-	is.Equal(b.View().Configuration.Number, 7)
-	is.Equal(b.rejected, 2)
+	r := newTestRoster()
+	r.Apply(time.Minute, []platform.Change{put("config", "7", 5)}, 5)
+	is.Equal(len(r.Apply(time.Minute, []platform.Change{put("config", "6", 4), put("config", "7", 5)}, 5)), 0)
+	r.Apply(time.Minute, []platform.Change{put("config", "3", 9)}, 9)
+	is.Equal(r.View().Configuration.Number, 7)
+	is.Equal(r.rejected, 1)
+	r.Apply(time.Minute, []platform.Change{put("config", "odd", 10)}, 10)
+	is.Equal(r.View().Configuration.Number, 7)
+	is.Equal(r.rejected, 2)
 }
 
-// TestApplyDropsSupersededChanges applies a burst of configurations as one answer of the store: followers need the last value alone, or the
-// one in force beside it when the last can't be used.
+// TestApplyDropsSupersededChanges applies many configurations at once: other replicas get only the last one, and
+// the one in force if the last one is rejected.
 func TestApplyDropsSupersededChanges(t *testing.T) {
 	cases := []struct {
-		name string
-		last []platform.Change
-		news int
+		name    string
+		last    []platform.Change
+		updates int
 	}{
-		{"all good", nil, 2},
+		{"all accepted", nil, 2},
 		{"the last is older", []platform.Change{put("config", "3", 40)}, 3},
-		{"the last is unreadable", []platform.Change{put("config", "odd", 40)}, 3},
+		{"the last cannot be decoded", []platform.Change{put("config", "odd", 40)}, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var burst []platform.Change
+			var changes []platform.Change
 			for i := range 30 {
-				burst = append(burst, put("config", strconv.Itoa(10+i), int64(2+i)))
+				changes = append(changes, put("config", strconv.Itoa(10+i), int64(2+i)))
 			}
-			burst = append(burst, put("t/a", "x", 35))
-			b, follower, late := newTestRoster(), newTestRoster(), newTestRoster()
-			news := b.Apply(0, append(burst, c.last...), 50)
-			is.Equal(len(news), c.news)
-			follower.Apply(0, news, 50)
-			everything, revision := b.AllChanges()
-			late.Apply(0, everything, revision)
-			for _, x := range []*testRoster{b, follower, late} {
+			changes = append(changes, put("t/a", "x", 35))
+			r, follower, late := newTestRoster(), newTestRoster(), newTestRoster()
+			updates := r.Apply(0, append(changes, c.last...), 50)
+			is.Equal(len(updates), c.updates)
+			follower.Apply(0, updates, 50)
+			all, revision := r.AllChanges()
+			late.Apply(0, all, revision)
+			for _, x := range []*testRoster{r, follower, late} {
 				is.Equal(x.View().Configuration.Number, 39)
 				is.Equal(x.targets(), 1)
 			}
@@ -107,39 +108,40 @@
 	}
 }
 
-// TestRemovedTargets removes targets in calm, in a snapshot, and after an outage of the store.
+// TestRemovedTargets removes targets by a change, by a snapshot and after a store outage. Only after the outage does a
+// removed target stay in use until storeReturnGrace has passed.
 func TestRemovedTargets(t *testing.T) {
 	is := is.New(t)
-	b := newTestRoster()
+	r := newTestRoster()
 	now := time.Minute
-	b.Apply(now, []platform.Change{put("config", "1", 1), put("t/a", "x", 2), put("t/b", "y", 3), put("t/c", "z", 4)}, 4)
-	is.Equal(b.targets(), 3)
-	b.Apply(now, []platform.Change{deletion("t/a", 5)}, 5)
-	is.Equal(b.targets(), 2)
-	b.ApplySnapshot(now, []platform.Entry{{Key: "config", Value: []byte("1"), Revision: 1}, {Key: "t/b", Value: []byte("y"), Revision: 3}}, 9)
-	is.Equal(b.targets(), 1)
-	is.True(b.StoreReturned(now))
-	is.True(!b.StoreReturned(now + time.Second)) // the same return, noticed by another host
-	b.Apply(now+time.Second, []platform.Change{deletion("t/b", 11)}, 11)
-	b.Tick(now + time.Second)
-	is.Equal(b.targets(), 1)
-	b.Tick(now + returnGrace)
-	is.Equal(b.targets(), 0)
-	b.Apply(now+3*time.Second, []platform.Change{put("t/b", "y", 12)}, 12)
-	is.Equal(b.targets(), 1)
+	r.Apply(now, []platform.Change{put("config", "1", 1), put("t/a", "x", 2), put("t/b", "y", 3), put("t/c", "z", 4)}, 4)
+	is.Equal(r.targets(), 3)
+	r.Apply(now, []platform.Change{deletion("t/a", 5)}, 5)
+	is.Equal(r.targets(), 2)
+	r.ApplySnapshot(now, []platform.Entry{{Key: "config", Value: []byte("1"), Revision: 1}, {Key: "t/b", Value: []byte("y"), Revision: 3}}, 9)
+	is.Equal(r.targets(), 1)
+	is.True(r.StoreReturned(now))
+	is.True(!r.StoreReturned(now + time.Second)) // the end of the same outage, detected by another host
+	r.Apply(now+time.Second, []platform.Change{deletion("t/b", 11)}, 11)
+	r.Tick(now + time.Second)
+	is.Equal(r.targets(), 1)
+	r.Tick(now + storeReturnGrace)
+	is.Equal(r.targets(), 0)
+	r.Apply(now+3*time.Second, []platform.Change{put("t/b", "y", 12)}, 12)
+	is.Equal(r.targets(), 1)
 }
 
-// TestUndecodableEntry writes an entry that can't be used in place of a good one.
+// TestUndecodableEntry replaces the entry of a target by one that cannot be decoded: the target goes out of use.
 func TestUndecodableEntry(t *testing.T) {
 	is := is.New(t)
-	b := newTestRoster()
-	b.Apply(0, []platform.Change{put("config", "1", 1), put("t/a", "x", 2), put("t/b", "y", 3)}, 3)
-	b.Apply(0, []platform.Change{put("t/a", "", 4)}, 4)
-	is.Equal(b.targets(), 1)
-	is.Equal(b.rejected, 1)
+	r := newTestRoster()
+	r.Apply(0, []platform.Change{put("config", "1", 1), put("t/a", "x", 2), put("t/b", "y", 3)}, 3)
+	r.Apply(0, []platform.Change{put("t/a", "", 4)}, 4)
+	is.Equal(r.targets(), 1)
+	is.Equal(r.rejected, 1)
 }
 
-// TestApplyInAnyOrder applies the same changes in any order, some of them twice: the view is the same.
+// TestApplyInAnyOrder applies each change twice, in random order: the view must depend on the highest revisions only.
 func TestApplyInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []platform.Change
@@ -154,15 +156,15 @@
 			all = append(all, put(key, strconv.Itoa(i), int64(i+2)))
 			last[key] = strconv.Itoa(i)
 		}
-		b := newTestRoster()
-		b.Apply(time.Minute, []platform.Change{put("config", "1", 1)}, 1)
+		r := newTestRoster()
+		r.Apply(time.Minute, []platform.Change{put("config", "1", 1)}, 1)
 		for _, i := range rapid.Permutation(append(indexes(len(all)), indexes(len(all))...)).Draw(t, "order") {
-			b.Apply(time.Minute, []platform.Change{all[i]}, all[i].Revision)
+			r.Apply(time.Minute, []platform.Change{all[i]}, all[i].Revision)
 		}
-		if b.targets() != len(last) {
-			t.Fatalf("%d targets, want %d", b.targets(), len(last))
+		if r.targets() != len(last) {
+			t.Fatalf("%d targets, want %d", r.targets(), len(last))
 		}
-		for _, x := range b.View().Targets["s"] {
+		for _, x := range r.View().Targets["s"] {
 			if last["t/"+x.Name] != x.Address {
 				t.Fatalf("target %s has address %s, want %s", x.Name, x.Address, last["t/"+x.Name])
 			}
--- a/internal/roster/target.go
+++ b/internal/roster/target.go
@@ -5,27 +5,27 @@
 	"briarcroft/internal/placement"
 )
 
-// Target is one backend server as it registered itself.
+// Target is a backend server as it has registered itself in the store.
 type Target struct {
 	placement.Target
 	Service string
 }
 
-// DecodedEntry is what one entry of the store says: Configured, Registered or Neighbour.
+// DecodedEntry is the content of one entry of the store: ConfigurationEntry, TargetEntry or PeerEntry.
 type DecodedEntry interface{ decodedEntry() }
 
-// ConfigurationEntry is the newest configuration.
+// ConfigurationEntry holds a configuration.
 type ConfigurationEntry struct{ Configuration note.Configuration }
 
-// TargetEntry is one target.
+// TargetEntry holds the registration of a target.
 type TargetEntry struct{ Target Target }
 
-// PeerEntry is the inner address of an entry host, left in the store for hosts that know none.
+// PeerEntry holds the address of an entry host for traffic between hosts. Hosts that know no other host yet find one here.
 type PeerEntry struct{ Inner string }
 
 func (ConfigurationEntry) decodedEntry() {}
 func (TargetEntry) decodedEntry()        {}
 func (PeerEntry) decodedEntry()          {}
 
-// DecodeFunc reads one entry; it returns nil without error for a key that is none of the project's concern.
+// DecodeFunc decodes an entry of the store. It returns nil without an error for a key that it does not use.
 type DecodeFunc = func(key string, value []byte) (DecodedEntry, error)
