--- a/internal/meter/budget.go
+++ b/internal/meter/budget.go
@@ -48,7 +48,7 @@
 // burstPeriod is the time for which unused budget accumulates.
 const burstPeriod = time.Second
 
-// NewBudget returns a budget of which burstPeriod has accumulated.
+// NewBudget returns a budget with the full burst available.
 func NewBudget(c BudgetConfig) *Budget {
 	limiter := func(perSec float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(perSec), int(max(1, perSec*burstPeriod.Seconds())))
--- a/internal/placement/hedge.go
+++ b/internal/placement/hedge.go
@@ -17,8 +17,8 @@
 	hedgeReserve = 10.0
 )
 
-// startHedges starts a second run for each repeatable request whose run is late, if targets have free slots.
-// This limits the latency that a target causes when it becomes slow or drops a request.
+// startHedges starts a second run for each repeatable request whose run takes longer than expected, if targets have free
+// slots. This limits the latency that a target causes when it becomes slow or drops a request.
 func (h *Home) startHedges(now time.Duration) {
 	if len(h.queue) > 0 {
 		return
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -73,7 +73,7 @@
 	Expected time.Duration
 }
 
-// Hedge asks for a second run on another target, because the first run is late.
+// Hedge asks for a second run on another target, because the first one takes longer than expected.
 type Hedge Placed
 
 func (Placed) verdict()  {}
