--- a/internal/placement/end.go
+++ b/internal/placement/end.go
@@ -16,12 +16,12 @@
 }
 
 // RunEnded records the end of a run, frees its slot and dispatches queued requests.
-func (h *Home) RunEnded(now time.Duration, d RunEnd) {
-	r := h.requests[d.ID]
-	t := h.byName[d.Target]
-	if t != nil && d.Load != nil && d.Outcome != OutcomeOtherServer {
-		load := *d.Load
-		if d.Outcome != OutcomeNotRun {
+func (h *Home) RunEnded(now time.Duration, end RunEnd) {
+	r := h.requests[end.ID]
+	t := h.byName[end.Target]
+	if t != nil && end.Load != nil && end.Outcome != OutcomeOtherServer {
+		load := *end.Load
+		if end.Outcome != OutcomeNotRun {
 			// The load report in a response still counts the run that the response ends.
 			load.Running = max(0, load.Running-1)
 		}
@@ -30,7 +30,7 @@
 	var ended *run
 	if r != nil {
 		for _, candidate := range r.runs {
-			if candidate.target.Name == d.Target {
+			if candidate.target.Name == end.Target {
 				ended = candidate
 			}
 		}
@@ -38,7 +38,7 @@
 	if ended != nil {
 		ended.target.removeRun(ended)
 		r.removeRun(ended)
-		h.recordOutcome(now, r, ended, d)
+		h.recordOutcome(now, r, ended, end)
 		if len(r.runs) == 0 && !r.queued {
 			delete(h.requests, r.ID)
 		}
@@ -47,14 +47,14 @@
 }
 
 // recordOutcome updates the state of the target and the statistics of the service from the end of a run.
-func (h *Home) recordOutcome(now time.Duration, r *Request, ended *run, d RunEnd) {
+func (h *Home) recordOutcome(now time.Duration, r *Request, ended *run, end RunEnd) {
 	t := ended.target
-	switch d.Outcome {
+	switch end.Outcome {
 	case OutcomeAnswered:
 		t.recordSuccess(now)
 		h.crashes.forget(r.Fingerprint)
-		h.recordDuration(r, ended, d.Duration)
-		h.responseBytes[r.Class] += (float64(d.Bytes) - h.responseBytes[r.Class]) * responseBytesGain
+		h.recordDuration(r, ended, end.Duration)
+		h.responseBytes[r.Class] += (float64(end.Bytes) - h.responseBytes[r.Class]) * responseBytesGain
 	case OutcomeFailed, OutcomeTimedOut:
 		t.recordFailure(now, h.mayEject(now))
 	case OutcomeConnectionBroke:
@@ -90,7 +90,7 @@
 	h.serviceTimes[r.Class] = old + (min(seconds, maxFactor*old)-old)*serviceTimeGain
 }
 
-// recordLoad updates the state of a target and the usual pace of all targets from a load report.
+// recordLoad updates the state of a target and the average pace of all targets from a load report.
 func (h *Home) recordLoad(now time.Duration, t *targetState, l LoadReport) {
 	t.recordLoad(now, l)
 	if l.Pace > 0 {
--- a/internal/placement/hedge.go
+++ b/internal/placement/hedge.go
@@ -27,22 +27,22 @@
 		for _, active := range t.runs {
 			r := active.request
 			if r.Repeatable && !r.hedged && !r.queued && len(r.runs) == 1 {
-				h.hedgeIfLate(now, r, active)
+				h.hedgeIfSlow(now, r, active)
 			}
 		}
 	}
 }
 
-func (h *Home) hedgeIfLate(now time.Duration, r *Request, first *run) {
+func (h *Home) hedgeIfSlow(now time.Duration, r *Request, first *run) {
 	ageRatio := float64(now-first.startedAt) / float64(first.expected)
 	if ageRatio < lastChanceAgeRatio {
 		return
 	}
-	t, c := h.pickTarget(now, r, append(slices.Clone(r.Tried), first.target.Name))
-	if t == nil || c.nearlyFull || now+c.expected > r.Deadline {
+	t, e := h.pickTarget(now, r, append(slices.Clone(r.Tried), first.target.Name))
+	if t == nil || e.nearlyFull || now+e.expected > r.Deadline {
 		return
 	}
-	end := now + time.Duration(hedgeMargin*float64(c.expected))
+	end := now + time.Duration(hedgeMargin*float64(e.expected))
 	inTime := end <= r.Goal
 	lastChance := inTime && end+tickInterval > r.Goal
 	if !lastChance && (ageRatio < hedgeAgeRatio || !inTime && h.lateRank(now, r) == 0) {
@@ -52,8 +52,8 @@
 		return
 	}
 	r.hedged = true
-	h.startRun(now, r, t, c)
-	h.config.OnVerdict(r, Hedge(newPlaced(now, t, c)))
+	h.startRun(now, r, t, e)
+	h.config.OnVerdict(r, Hedge(newPlaced(now, t, e)))
 }
 
 // tickInterval is the expected interval between calls of Tick.
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -242,16 +242,16 @@
 // placeOrRefuse places or refuses a queued request if it can, and reports whether the request has left the queue.
 // Of the queued requests ahead of it, lateAhead are late.
 func (h *Home) placeOrRefuse(now time.Duration, r *Request, ahead, lateAhead int) bool {
-	t, c := h.pickTarget(now, r, r.Tried)
-	if t != nil && h.shouldPlaceNow(now, r, c.expected) {
+	t, e := h.pickTarget(now, r, r.Tried)
+	if t != nil && h.shouldPlaceNow(now, r, e.expected) {
 		if h.shouldAwaitProbe(now, r, t) {
 			return false
 		}
 		if h.lateRank(now, r) == 1 {
 			h.lateWait.recordPlaced(now)
 		}
-		h.startRun(now, r, t, c)
-		h.config.OnVerdict(r, newPlaced(now, t, c))
+		h.startRun(now, r, t, e)
+		h.config.OnVerdict(r, newPlaced(now, t, e))
 		return true
 	}
 	slots := h.availableSlots(now)
@@ -268,8 +268,8 @@
 }
 
 // newPlaced returns the verdict that assigns a request to a target, and the data on which the decision was based.
-func newPlaced(now time.Duration, t *targetState, c runEstimate) Placed {
-	return Placed{Target: t.Name, Address: t.Address, Expected: c.expected, KnowledgeAge: now - t.paceAt}
+func newPlaced(now time.Duration, t *targetState, e runEstimate) Placed {
+	return Placed{Target: t.Name, Address: t.Address, Expected: e.expected, KnowledgeAge: now - t.paceAt}
 }
 
 // runEstimate is the expected duration of a run that starts on a target now.
@@ -355,8 +355,8 @@
 	return 1 - float64(used)/float64(slots)
 }
 
-func (h *Home) startRun(now time.Duration, r *Request, t *targetState, c runEstimate) {
-	started := &run{request: r, target: t, startedAt: now, expected: c.expected, slowdown: c.slowdown, nearlyFull: c.nearlyFull}
+func (h *Home) startRun(now time.Duration, r *Request, t *targetState, e runEstimate) {
+	started := &run{request: r, target: t, startedAt: now, expected: e.expected, slowdown: e.slowdown, nearlyFull: e.nearlyFull}
 	t.runs = append(t.runs, started)
 	r.runs = append(r.runs, started)
 }
