--- a/internal/meter/histogram.go
+++ b/internal/meter/histogram.go
@@ -1,4 +1,5 @@
-// Package meter keeps latency histograms per service and class, and the one budget that everything that measures goes through.
+// Package meter keeps latency histograms by service and request class, and the budget that limits what measurements such as
+// health probes may cost.
 package meter
 
 import (
@@ -10,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// longestLatency is the highest latency that a histogram tells apart.
-const longestLatency = 10 * time.Minute
+// maxLatency is the highest latency that a histogram records. Higher ones are recorded as maxLatency.
+const maxLatency = 10 * time.Minute
 
-// Key names one histogram.
+// Key identifies a histogram by service and request class.
 type Key struct {
 	Service string
 	Class   string
 }
 
-// Summary is a histogram in a few numbers; times are in microseconds.
+// Summary holds the count, quantiles and maximum of a histogram. Times are in microseconds.
 type Summary struct {
 	Service string
 	Class   string
@@ -30,19 +31,19 @@
 	Max     int64
 }
 
-// Histograms holds a latency histogram per service and class.
+// Histograms holds a latency histogram per service and class. It is safe for concurrent use.
 type Histograms struct {
 	mu    sync.RWMutex
-	byKey map[Key]*guarded
+	byKey map[Key]*lockedHistogram
 }
 
-type guarded struct {
+type lockedHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
 // NewHistograms returns an empty set.
-func NewHistograms() *Histograms { return &Histograms{byKey: map[Key]*guarded{}} }
+func NewHistograms() *Histograms { return &Histograms{byKey: map[Key]*lockedHistogram{}} }
 
 // Record adds one latency.
 func (h *Histograms) Record(k Key, latency time.Duration) {
@@ -50,10 +51,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// The value is clamped, so RecordValue cannot fail.
-	_ = g.histogram.RecordValue(int64(min(max(latency, 0), longestLatency) / time.Microsecond))
+	_ = g.histogram.RecordValue(int64(min(max(latency, 0), maxLatency) / time.Microsecond))
 }
 
-func (h *Histograms) get(k Key) *guarded {
+func (h *Histograms) get(k Key) *lockedHistogram {
 	h.mu.RLock()
 	g := h.byKey[k]
 	h.mu.RUnlock()
@@ -63,7 +64,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g = h.byKey[k]; g == nil {
-		g = &guarded{histogram: hdrhistogram.New(1, int64(longestLatency/time.Microsecond), 2)}
+		g = &lockedHistogram{histogram: hdrhistogram.New(1, int64(maxLatency/time.Microsecond), 2)}
 		h.byKey[k] = g
 	}
 	return g
--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// Budget bounds the arrivals of a service beyond the first of each request in any sliding window.
-// It answers retry storms: a service that fails or sheds must not get more requests for it.
-type Budget struct {
-	// Ratio is the most repeats per request, and Slack how many more are allowed in a window.
+// RetryBudget limits extra attempts, that is, retries and hedges, to a share of the requests of a service in any sliding
+// window. It prevents retry storms: a service that fails or refuses requests must not get more load because of that.
+type RetryBudget struct {
+	// Ratio is the maximum number of extra attempts per request, and Slack how many more are allowed per window.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 
-	slots [budgetSlots + 1]budgetSlot
+	buckets [budgetBuckets + 1]budgetBucket
 }
 
-// budgetSlots is how many parts a window is counted in; one more part covers the slide.
-const budgetSlots = 20
+// budgetBuckets is the number of buckets that a window is counted in. One more bucket is kept, because a sliding window
+// overlaps with one bucket more.
+const budgetBuckets = 20
 
-type budgetSlot struct {
-	number  int64
-	first   int
-	repeats int
+type budgetBucket struct {
+	index         int64
+	requests      int
+	extraAttempts int
 }
 
-func (b *Budget) slot(now time.Duration) *budgetSlot {
-	number := int64(now / (b.Window / budgetSlots))
-	s := &b.slots[number%int64(len(b.slots))]
-	if s.number != number {
-		*s = budgetSlot{number: number}
+func (b *RetryBudget) bucket(now time.Duration) *budgetBucket {
+	index := int64(now / (b.Window / budgetBuckets))
+	s := &b.buckets[index%int64(len(b.buckets))]
+	if s.index != index {
+		*s = budgetBucket{index: index}
 	}
 	return s
 }
 
-// Arrived counts a new request of a caller.
-func (b *Budget) Arrived(now time.Duration) { b.slot(now).first++ }
+// AddRequest counts the first attempt of a request.
+func (b *RetryBudget) AddRequest(now time.Duration) { b.bucket(now).requests++ }
 
-// sums returns the repeats of the window that ends now, and the requests of its second half. A window that ends later
-// holds the same repeats and fewer of the requests before them; those of the last half are in it, or in the one half a
-// window before, as long as the repeats count.
-func (b *Budget) sums(now time.Duration) (first, repeats int) {
-	current := b.slot(now).number
-	for _, s := range b.slots {
-		if s.number > current-budgetSlots/2 {
-			first += s.first
+// sums returns the extra attempts of the window that ends now, and the requests of only its second half. A window that
+// ends later may hold the same extra attempts but fewer of the requests before them. Requests of the last half window
+// are in that later window, or in the one that ends half a window before it, as long as the extra attempts count.
+func (b *RetryBudget) sums(now time.Duration) (requests, extraAttempts int) {
+	current := b.bucket(now).index
+	for _, s := range b.buckets {
+		if s.index > current-budgetBuckets/2 {
+			requests += s.requests
 		}
-		if s.number > current-int64(len(b.slots)) {
-			repeats += s.repeats
+		if s.index > current-int64(len(b.buckets)) {
+			extraAttempts += s.extraAttempts
 		}
 	}
-	return first, repeats
+	return requests, extraAttempts
 }
 
-// Left returns how many repeats the budget still allows.
-func (b *Budget) Left(now time.Duration) float64 {
-	first, repeats := b.sums(now)
-	return b.Ratio*float64(first) + b.Slack - float64(repeats)
+// Remaining returns how many extra attempts the budget still allows; it may be negative.
+func (b *RetryBudget) Remaining(now time.Duration) float64 {
+	requests, extraAttempts := b.sums(now)
+	return b.Ratio*float64(requests) + b.Slack - float64(extraAttempts)
 }
 
-// Take spends one repeat and reports whether there was one to spend, beyond a reserve.
-func (b *Budget) Take(now time.Duration, reserve float64) bool {
-	if b.Left(now) < 1+reserve {
+// Spend takes one extra attempt from the budget. It reports false and takes nothing if less than reserve would remain.
+func (b *RetryBudget) Spend(now time.Duration, reserve float64) bool {
+	if b.Remaining(now) < 1+reserve {
 		return false
 	}
-	b.slot(now).repeats++
+	b.bucket(now).extraAttempts++
 	return true
 }
--- a/internal/placement/crash.go
+++ b/internal/placement/crash.go
@@ -6,52 +6,52 @@
 const (
 	crashesToQuarantine = 3
 	quarantineTime      = 2 * time.Minute
-	maxSuspects         = 4096
+	maxCrashSuspects    = 4096
 )
 
-// suspect is a request that broke the connections of targets.
-type suspect struct {
+// crashSuspect is a request during which at least one target closed the connection without a response.
+type crashSuspect struct {
 	targets map[string]bool
 	last    time.Duration
 }
 
-// crashes finds requests that crash each target they run on, by their fingerprint.
-type crashes map[uint64]*suspect
+// crashTracker finds requests that crash every target they run on. Its keys are request fingerprints.
+type crashTracker map[uint64]*crashSuspect
 
-// broke notes that a target broke its connection while it ran the request.
-func (c crashes) broke(now time.Duration, fingerprint uint64, name string) {
+// connectionBroke records that the connection to a target broke while the target ran the request.
+func (c crashTracker) connectionBroke(now time.Duration, fingerprint uint64, name string) {
 	if fingerprint == 0 {
 		return
 	}
 	s := c[fingerprint]
 	if s == nil {
-		if len(c) >= maxSuspects {
-			c.sweep(now)
+		if len(c) >= maxCrashSuspects {
+			c.evict(now)
 		}
-		s = &suspect{targets: map[string]bool{}}
+		s = &crashSuspect{targets: map[string]bool{}}
 		c[fingerprint] = s
 	}
 	s.targets[name] = true
 	s.last = now
 }
 
-// answered clears the suspicion.
-func (c crashes) answered(fingerprint uint64) { delete(c, fingerprint) }
+// forget removes a request from the suspects, because a target has answered it.
+func (c crashTracker) forget(fingerprint uint64) { delete(c, fingerprint) }
 
-// quarantined reports whether a request must not reach another target.
-func (c crashes) quarantined(now time.Duration, fingerprint uint64) bool {
+// quarantined reports whether a request must not be sent to any more targets.
+func (c crashTracker) quarantined(now time.Duration, fingerprint uint64) bool {
 	s := c[fingerprint]
 	return s != nil && len(s.targets) >= crashesToQuarantine && now-s.last < quarantineTime
 }
 
-// sweep forgets old suspects, and all of them if none is old.
-func (c crashes) sweep(now time.Duration) {
+// evict removes suspects older than quarantineTime, or all of them if that does not make room.
+func (c crashTracker) evict(now time.Duration) {
 	for fingerprint, s := range c {
 		if now-s.last > quarantineTime {
 			delete(c, fingerprint)
 		}
 	}
-	if len(c) >= maxSuspects {
+	if len(c) >= maxCrashSuspects {
 		clear(c)
 	}
 }
--- a/internal/placement/end.go
+++ b/internal/placement/end.go
@@ -2,129 +2,130 @@
 
 import "time"
 
-// Done is the end of one run.
-type Done struct {
-	ID      ID
+// RunEnd reports the end of one run.
+type RunEnd struct {
+	ID      RequestID
 	Target  string
 	Outcome Outcome
-	// Took is the time from the request's sending to its answer.
-	Took time.Duration
-	// Bytes is the size of the answer.
+	// Duration is the time from sending the request to its response.
+	Duration time.Duration
+	// Bytes is the size of the response.
 	Bytes int
-	// Load is the report that came with the answer, or nil.
-	Load *Load
+	// Load is the load report that came with the response, or nil.
+	Load *LoadReport
 }
 
-// Done takes in the end of a run and places requests that wait.
-func (h *Home) Done(now time.Duration, d Done) {
-	r := h.requests[d.ID]
-	t := h.byName[d.Target]
-	if t != nil && d.Load != nil && d.Outcome != Misplaced {
-		load := *d.Load
-		if d.Outcome != NotRun {
-			// The report on an answer still counts the run that it answers.
+// RunEnded records the end of a run, frees its slot and dispatches queued requests.
+func (h *Home) RunEnded(now time.Duration, end RunEnd) {
+	r := h.requests[end.ID]
+	t := h.byName[end.Target]
+	if t != nil && end.Load != nil && end.Outcome != OutcomeOtherServer {
+		load := *end.Load
+		if end.Outcome != OutcomeNotRun {
+			// The load report in a response still counts the run that the response ends.
 			load.Running = max(0, load.Running-1)
 		}
-		h.reported(now, t, load)
+		h.recordLoad(now, t, load)
 	}
-	var ended *hold
+	var ended *run
 	if r != nil {
-		for _, held := range r.holds {
-			if held.target.Name == d.Target {
-				ended = held
+		for _, candidate := range r.runs {
+			if candidate.target.Name == end.Target {
+				ended = candidate
 			}
 		}
 	}
 	if ended != nil {
-		ended.target.drop(ended)
-		r.drop(ended)
-		h.learn(now, r, ended, d)
-		if len(r.holds) == 0 && !r.waiting {
+		ended.target.removeRun(ended)
+		r.removeRun(ended)
+		h.recordOutcome(now, r, ended, end)
+		if len(r.runs) == 0 && !r.queued {
 			delete(h.requests, r.ID)
 		}
 	}
 	h.Dispatch(now)
 }
 
-// learn takes in what the end of a run says of its target and its service.
-func (h *Home) learn(now time.Duration, r *Request, ended *hold, d Done) {
+// recordOutcome updates the state of the target and the statistics of the service from the end of a run.
+func (h *Home) recordOutcome(now time.Duration, r *Request, ended *run, end RunEnd) {
 	t := ended.target
-	switch d.Outcome {
-	case Answered:
-		t.succeeded(now)
-		h.crash.answered(r.Fingerprint)
-		h.learnTime(r, ended, d.Took)
-		h.bytes[r.Class] += (float64(d.Bytes) - h.bytes[r.Class]) * bytesGain
-	case Failed, Silent:
-		t.failed(now, h.mayEject(now))
-	case Broken:
-		t.failed(now, h.mayEject(now))
-		h.crash.broke(now, r.Fingerprint, t.Name)
-	case NotRun:
-		// The target holds more than is known here.
-		t.seen, t.seenAt = max(t.Slots, t.seen), now
-		t.failures = max(t.failures, failureGain)
-	case Unreachable:
-		t.failed(now, h.mayEject(now))
+	switch end.Outcome {
+	case OutcomeAnswered:
+		t.recordSuccess(now)
+		h.crashes.forget(r.Fingerprint)
+		h.recordDuration(r, ended, end.Duration)
+		h.responseBytes[r.Class] += (float64(end.Bytes) - h.responseBytes[r.Class]) * responseBytesGain
+	case OutcomeFailed, OutcomeTimedOut:
+		t.recordFailure(now, h.mayEject(now))
+	case OutcomeConnectionBroke:
+		t.recordFailure(now, h.mayEject(now))
+		h.crashes.connectionBroke(now, r.Fingerprint, t.Name)
+	case OutcomeNotRun:
+		// The target is full: it has more requests than this home has placed there.
+		t.reportedLoad, t.loadAt = max(t.Slots, t.reportedLoad), now
+		t.failureRate = max(t.failureRate, failureGain)
+	case OutcomeUnreachable:
+		t.recordFailure(now, h.mayEject(now))
 		t.probe.down = true
-	case Misplaced:
-		t.misplaced = true
-	case Abandoned:
+	case OutcomeOtherServer:
+		t.otherServer = true
+	case OutcomeCanceled:
 	}
 }
 
-// learnTime takes the time of a run into the class's base time and into what is known of crowding.
-func (h *Home) learnTime(r *Request, ended *hold, took time.Duration) {
-	seconds := took.Seconds() / max(leastFactor, ended.slowdown)
-	old := h.bases[r.Class]
+// recordDuration updates the service time of the request's class from a run, or, if the run took one of the target's last
+// slots, the slowdown of nearly full targets.
+func (h *Home) recordDuration(r *Request, ended *run, duration time.Duration) {
+	seconds := duration.Seconds() / max(minFactor, ended.slowdown)
+	old := h.serviceTimes[r.Class]
 	if old == 0 {
-		h.bases[r.Class] = seconds
+		h.serviceTimes[r.Class] = seconds
 		return
 	}
-	if ended.crowded {
-		ratio := min(mostFactor, max(leastFactor, seconds*h.crowding/old))
-		h.crowding += (ratio - h.crowding) * crowdingGain
+	if ended.nearlyFull {
+		ratio := min(maxFactor, max(minFactor, seconds*h.nearlyFullSlowdown/old))
+		h.nearlyFullSlowdown += (ratio - h.nearlyFullSlowdown) * nearlyFullGain
 		return
 	}
-	h.bases[r.Class] = old + (min(seconds, mostFactor*old)-old)*baseGain
+	h.serviceTimes[r.Class] = old + (min(seconds, maxFactor*old)-old)*serviceTimeGain
 }
 
-// reported takes in a target's own word.
-func (h *Home) reported(now time.Duration, t *target, l Load) {
-	t.report(now, l)
+// recordLoad updates the state of a target and the average pace of all targets from a load report.
+func (h *Home) recordLoad(now time.Duration, t *targetState, l LoadReport) {
+	t.recordLoad(now, l)
 	if l.Pace > 0 {
-		h.pace += (min(mostFactor, max(leastFactor, l.Pace)) - h.pace) * paceGain
+		h.averagePace += (min(maxFactor, max(minFactor, l.Pace)) - h.averagePace) * paceGain
 	}
 }
 
-// mayEject reports whether one more target can be left out: at least half of them stay in.
+// mayEject reports whether one more target may be ejected: at least half of the targets must stay available.
 func (h *Home) mayEject(now time.Duration) bool {
-	sound := 0
+	available := 0
 	for _, t := range h.targets {
-		if t.sound(now) {
-			sound++
+		if t.available(now) {
+			available++
 		}
 	}
-	return 2*(sound-1) >= len(h.targets)
+	return 2*(available-1) >= len(h.targets)
 }
 
-// Withdraw takes a waiting request out of the queue; runs go on until Done.
-func (h *Home) Withdraw(id ID) {
+// CancelQueued removes a request from the queue. Runs of the request continue until RunEnded.
+func (h *Home) CancelQueued(id RequestID) {
 	r := h.requests[id]
 	if r == nil {
 		return
 	}
-	h.unqueue(r)
-	if len(r.holds) == 0 {
+	h.removeFromQueue(r)
+	if len(r.runs) == 0 {
 		delete(h.requests, id)
 	}
 }
 
-func (h *Home) unqueue(r *Request) {
-	if !r.waiting {
+func (h *Home) removeFromQueue(r *Request) {
+	if !r.queued {
 		return
 	}
-	r.waiting = false
+	r.queued = false
 	for i, other := range h.queue {
 		if other == r {
 			h.queue = append(h.queue[:i], h.queue[i+1:]...)
@@ -133,61 +134,63 @@
 	}
 }
 
-// Leave forgets everything of a host whose conversation has ended.
-func (h *Home) Leave(now time.Duration, host uint64) {
+// EndStream removes all requests and runs of a placement stream that has ended.
+func (h *Home) EndStream(now time.Duration, stream uint64) {
 	for id, r := range h.requests {
-		if id.Host != host {
+		if id.Stream != stream {
 			continue
 		}
-		h.unqueue(r)
-		h.forget(r)
+		h.removeFromQueue(r)
+		h.removeRequest(r)
 	}
 	h.Dispatch(now)
 }
 
-func (h *Home) forget(r *Request) {
-	for _, held := range r.holds {
-		held.target.drop(held)
+// removeRequest removes a request and frees the slots of its runs.
+func (h *Home) removeRequest(r *Request) {
+	for _, active := range r.runs {
+		active.target.removeRun(active)
 	}
-	r.holds = nil
+	r.runs = nil
 	delete(h.requests, r.ID)
 }
 
-// forgetAfter is how long after its deadline a run without an end is forgotten.
-const forgetAfter = time.Second
+// runEndTimeout is how long after the deadline of its request a run is removed if its end is not reported.
+const runEndTimeout = time.Second
 
-// Tick runs the timers: call it every few milliseconds while requests are known. It reports whether any are.
+// Tick handles timeouts, dispatches queued requests and starts hedges. It must be called every few milliseconds while the
+// home has requests, and reports whether it still has any.
 func (h *Home) Tick(now time.Duration) bool {
-	h.checkSilence(now)
-	h.tellEjections(now)
+	h.checkProbeTimeouts(now)
+	h.reportEjections(now)
 	for _, r := range h.requests {
-		if !r.waiting && now > r.Deadline+forgetAfter {
-			h.forget(r)
+		if !r.queued && now > r.Deadline+runEndTimeout {
+			h.removeRequest(r)
 		}
 	}
 	h.Dispatch(now)
-	h.hedge(now)
+	h.startHedges(now)
 	return len(h.requests) > 0
 }
 
-// tellEjections tells of targets that were taken out or are back.
-func (h *Home) tellEjections(now time.Duration) {
+// reportEjections calls OnEjection for each target that was ejected, or whose ejection ended, since the last call.
+func (h *Home) reportEjections(now time.Duration) {
 	for _, t := range h.targets {
-		if out := now < t.ejectedUntil; out != t.out {
-			t.out = out
+		if ejected := now < t.ejectedUntil; ejected != t.ejectionReported {
+			t.ejectionReported = ejected
 			if h.config.OnEjection != nil {
-				h.config.OnEjection(Ejection{t.Name, out, t.inARow})
+				h.config.OnEjection(Ejection{t.Name, ejected, t.consecutiveFailures})
 			}
 		}
 	}
 }
 
-// WaitingHosts adds the hosts whose requests wait to a set.
-func (h *Home) WaitingHosts(set map[uint64]bool) {
+// AddQueuedStreams adds to a set the placement streams that have requests in the queue.
+func (h *Home) AddQueuedStreams(set map[uint64]bool) {
 	for _, r := range h.queue {
-		set[r.ID.Host] = true
+		set[r.ID.Stream] = true
 	}
 }
 
-// Queued returns the number of waiting requests.
-func (h *Home) Queued() int { return len(h.queue) }
+// QueueLength returns the number of queued requests.
+func (h *Home) QueueLength() int { return len(h.queue) }
--- a/internal/placement/overdue.go
+++ b/internal/placement/overdue.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// gapGain is the weight of one pause between two late requests that were placed in what is expected of the next.
-const gapGain = 0.3
+// intervalGain is the weight of the latest interval in the moving average of lateWaitEstimator.
+const intervalGain = 0.3
 
-// overdue predicts when a late request gets its turn. Those in time go first, so that the length of the queue tells little.
-// It answers overload that lasts: late requests would wait until their time limit for slots that never stay free.
-type overdue struct {
-	// gap is the moving time between two late requests that were placed.
-	gap time.Duration
-	// since is when the last one was placed, or when they began to wait.
-	since   time.Duration
-	waiting int
+// lateWaitEstimator predicts how long late requests, those that can no longer meet their goal, stay in the queue. The
+// length of the queue predicts that badly, because requests that can meet their goal are placed first. Without it, late
+// requests would wait until their deadline under lasting overload, for slots that never stay free.
+type lateWaitEstimator struct {
+	// interval is the moving average of the time between placements of late requests.
+	interval time.Duration
+	// lastPlacedAt is when a late request was last placed or, if none was since, when late requests began to wait.
+	lastPlacedAt time.Duration
+	queued       int
 }
 
-// wait takes in how many late requests wait.
-func (o *overdue) wait(now time.Duration, count int) {
-	if o.waiting == 0 {
-		o.since = now
+// setQueued records the number of late requests in the queue.
+func (e *lateWaitEstimator) setQueued(now time.Duration, count int) {
+	if e.queued == 0 {
+		e.lastPlacedAt = now
 	}
 	if count == 0 {
-		o.gap = 0
+		e.interval = 0
 	}
-	o.waiting = count
+	e.queued = count
 }
 
-// served takes in that a late request was placed.
-func (o *overdue) served(now time.Duration) {
-	if o.waiting > 0 {
-		o.gap += time.Duration(gapGain * float64(now-o.since-o.gap))
+// recordPlaced records that a late request was placed.
+func (e *lateWaitEstimator) recordPlaced(now time.Duration) {
+	if e.queued > 0 {
+		e.interval += time.Duration(intervalGain * float64(now-e.lastPlacedAt-e.interval))
 	}
-	o.since = now
+	e.lastPlacedAt = now
 }
 
-// turn returns how long a late request will wait behind so many others: as long for each as for the last ones, or as the
-// next one has waited already.
-func (o *overdue) turn(now time.Duration, ahead int) time.Duration {
-	if o.waiting == 0 {
+// estimate returns how long a late request will wait behind so many other late requests. For each of them it takes the
+// average interval between placements, or the time since the last placement if that is longer.
+func (e *lateWaitEstimator) estimate(now time.Duration, ahead int) time.Duration {
+	if e.queued == 0 {
 		return 0
 	}
-	return time.Duration(ahead+1) * max(o.gap, now-o.since)
+	return time.Duration(ahead+1) * max(e.interval, now-e.lastPlacedAt)
 }
--- a/internal/placement/overdue_test.go
+++ b/internal/placement/overdue_test.go
@@ -7,19 +7,19 @@
 	"github.com/matryer/is"
 )
 
-// TestOverdueTurns replays a queue in which late requests wait without any being placed, and then a spell of free slots.
-func TestOverdueTurns(t *testing.T) {
+// TestLateWaitEstimator first queues late requests of which none is placed, and then places them at a steady rate.
+func TestLateWaitEstimator(t *testing.T) {
 	is := is.New(t)
-	var o overdue
-	is.Equal(o.turn(time.Second, 0), time.Duration(0)) // nobody waits
-	o.wait(time.Second, 2)
-	is.Equal(o.turn(time.Second, 3), time.Duration(0)) // nothing is known yet
-	is.Equal(o.turn(1200*time.Millisecond, 0), 200*time.Millisecond)
-	is.Equal(o.turn(1200*time.Millisecond, 2), 600*time.Millisecond)
+	var e lateWaitEstimator
+	is.Equal(e.estimate(time.Second, 0), time.Duration(0)) // no late request is queued
+	e.setQueued(time.Second, 2)
+	is.Equal(e.estimate(time.Second, 3), time.Duration(0)) // no time has passed yet
+	is.Equal(e.estimate(1200*time.Millisecond, 0), 200*time.Millisecond)
+	is.Equal(e.estimate(1200*time.Millisecond, 2), 600*time.Millisecond)
 	for now := 1210 * time.Millisecond; now < 1400*time.Millisecond; now += 10 * time.Millisecond {
-		o.served(now)
+		e.recordPlaced(now)
 	}
-	is.True(o.turn(1400*time.Millisecond, 0) <= 20*time.Millisecond)
-	o.wait(1400*time.Millisecond, 0)
-	is.Equal(o.turn(2*time.Second, 0), time.Duration(0))
+	is.True(e.estimate(1400*time.Millisecond, 0) <= 20*time.Millisecond)
+	e.setQueued(1400*time.Millisecond, 0)
+	is.Equal(e.estimate(2*time.Second, 0), time.Duration(0))
 }
--- a/internal/placement/returns.go
+++ b/internal/placement/returns.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Times of callers' returns.
+// Delays after which refused callers are told to retry.
 const (
-	// leastReturn is the shortest pause that callers are told to make.
-	leastReturn = 50 * time.Millisecond
-	// outageReturn is the pause while a service has no target.
-	outageReturn = 300 * time.Millisecond
-	// quarantineReturn is the pause for requests that crash targets.
-	quarantineReturn = 5 * time.Second
-	// returnSpread is how far, relative to the pause, returns are spread out.
-	returnSpread = 0.5
+	minRetryDelay = 50 * time.Millisecond
+	// noTargetsRetryDelay applies while the service has no available target.
+	noTargetsRetryDelay = 300 * time.Millisecond
+	// quarantineRetryDelay applies to requests that crash targets.
+	quarantineRetryDelay = 5 * time.Second
+	// retryDelaySpread is the largest jitter, relative to the delay.
+	retryDelaySpread = 0.5
 )
 
-// goldenRatio steps through the unit interval evenly, however many steps are taken.
+// goldenRatio is the step of a low-discrepancy sequence: its multiples modulo 1 cover the unit interval evenly, however
+// many there are.
 var goldenRatio = (math.Sqrt(5) - 1) / 2
 
-// retryAfter returns when a refused caller should come back: when those that wait now will have been served,
-// spread out so that callers that were refused together don't return together.
+// retryAfter returns the delay after which a refused caller should retry. It is about the time in which the current queue
+// is served, plus jitter, so that callers refused together do not retry together.
 func (h *Home) retryAfter(now time.Duration, r *Request, reason Reason) time.Duration {
-	h.returns++
-	_, place := math.Modf(float64(h.returns) * goldenRatio)
-	pause := leastReturn
+	h.refusals++
+	_, fraction := math.Modf(float64(h.refusals) * goldenRatio)
+	delay := minRetryDelay
 	switch reason {
 	case ReasonQuarantined:
-		return quarantineReturn
+		return quarantineRetryDelay
 	case ReasonNoTargets:
-		pause = outageReturn
-	case ReasonTooLate, ReasonRetryBudget:
-		if slots := h.slots(now); slots > 0 {
-			pause = max(pause, time.Duration(float64(len(h.queue)+1)/float64(slots)*h.pace*float64(h.base(r))))
+		delay = noTargetsRetryDelay
+	case ReasonDeadlineCannotBeMet, ReasonRetryBudgetSpent:
+		if slots := h.availableSlots(now); slots > 0 {
+			delay = max(delay, time.Duration(float64(len(h.queue)+1)/float64(slots)*h.averagePace*float64(h.serviceTime(r))))
 		}
 	}
-	return pause + time.Duration(returnSpread*place*float64(pause))
+	return delay + time.Duration(retryDelaySpread*fraction*float64(delay))
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -6,168 +6,174 @@
 	"time"
 )
 
-// Horizons and weights of what is known of a target.
+// Parameters of the state of a target. A decay time is the time constant of an exponential decay.
 const (
-	// paceHorizon is how long a reported pace stays telling: neighbours' load shifts within a few hundred milliseconds.
-	paceHorizon = 300 * time.Millisecond
-	// loadHorizon is how long a reported load counts; after it only own runs do.
-	loadHorizon = 100 * time.Millisecond
-	// travelTime is how long a request may be on its way to a target that does not count it yet.
-	travelTime = 8 * time.Millisecond
-	// failureHorizon is how long a failure makes a target less attractive.
-	failureHorizon = 3 * time.Second
-	// failureGain is the weight of one outcome in the moving share of failures.
+	// paceDecayTime is the decay time of a reported pace. The load that neighbouring workloads put on the target's machine
+	// changes within a few hundred milliseconds.
+	paceDecayTime = 300 * time.Millisecond
+	// maxLoadAge is how long a reported load is used. After that, only the runs that this home has placed are counted.
+	maxLoadAge = 100 * time.Millisecond
+	// transitTime is the longest time between the placement of a run and the target's load reports counting it.
+	transitTime = 8 * time.Millisecond
+	// failureDecayTime is the decay time of a target's failure rate.
+	failureDecayTime = 3 * time.Second
+	// failureGain is the weight of one outcome in the moving average of the failure rate.
 	failureGain = 0.25
-	// failurePenalty is how much longer than usual a run is taken to last at a target where every run fails.
+	// failurePenalty makes a run on a target where every run fails count as 1+failurePenalty times as long.
 	failurePenalty = 6.0
-	// warmingSlowdown is how much slower a target is taken to be right after its start, as long as it doesn't say.
-	warmingSlowdown = 2.0
-	// overdueRatio is the age of a run, in expected times, from which its target looks stuck.
+	// warmUpSlowdown is the factor by which a target is assumed to be slower while it warms up, unless it reports its pace.
+	warmUpSlowdown = 2.0
+	// overdueRatio is the age of a run, relative to its expected duration, from which the run is overdue and its target is
+	// assumed to be slow or hung.
 	overdueRatio = 2.0
-	// crowdedShare is the part of a target's slots beyond which one more run may slow it down.
-	crowdedShare = 0.8
-	// longestEjection and firstEjection bound how long a failing target is left out.
-	firstEjection   = 500 * time.Millisecond
-	longestEjection = 8 * time.Second
-	// failuresToEject is how many failures in a row take a target out.
+	// nearlyFullShare is the share of used slots above which a target is nearly full and may slow down.
+	nearlyFullShare = 0.8
+	// minEjection is the duration of a target's first ejection. It doubles with each further one, up to maxEjection.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 8 * time.Second
+	// failuresToEject is the number of consecutive failures after which a target is ejected.
 	failuresToEject = 3
 )
 
-// Target is one target as it describes itself.
+// Target is a backend server as it has registered itself.
 type Target struct {
 	Name    string
 	Address string
 	Domain  string
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Leaving is set once it takes no new work.
-	Leaving bool
-	// Warming is how long it stays slow, counted from when this was told.
-	Warming time.Duration
-	// Start identifies one start of the target; another value means that it holds and knows nothing of before.
-	Start int64
+	// Draining is set when it accepts no new requests.
+	Draining bool
+	// WarmUpLeft is how long it remains slow after its start, counted from the registration.
+	WarmUpLeft time.Duration
+	// Incarnation changes with each start of the target. State of an earlier incarnation is discarded.
+	Incarnation int64
 }
 
-// target is what the home knows of one target.
-type target struct {
+// targetState is the home's state of one target.
+type targetState struct {
 	Target
-	warmUntil time.Duration
-	holds     []*hold
-	// pace is the last one reported, at pacedAt.
-	pace    float64
-	pacedAt time.Duration
-	// seen is how many requests the target held by its last report, at seenAt.
-	seen   int
-	seenAt time.Duration
-	// failures is the moving share of runs that failed, last changed at failedAt.
-	failures float64
-	failedAt time.Duration
-	inARow   int
-	// answeredAt is when a run last ended with an answer.
+	warmUpUntil time.Duration
+	runs        []*run
+	// pace is the last pace that the target reported, at paceAt.
+	pace   float64
+	paceAt time.Duration
+	// reportedLoad is the number of running and waiting requests in the target's last load report, at loadAt.
+	reportedLoad int
+	loadAt       time.Duration
+	// failureRate is the moving average of the share of runs that failed, last updated at failureRateAt.
+	failureRate         float64
+	failureRateAt       time.Duration
+	consecutiveFailures int
+	// answeredAt is when a run last ended with a response.
 	answeredAt   time.Duration
 	ejectedUntil time.Duration
-	ejections    int
-	// out is whether the target was ejected when that was last told.
-	out       bool
-	probe     probe
-	misplaced bool
+	// ejections counts the ejections since the last success.
+	ejections int
+	// ejectionReported is set if the last call of OnEjection for this target reported it as ejected.
+	ejectionReported bool
+	probe            probeState
+	// otherServer is set while another server answers at the target's address.
+	otherServer bool
 }
 
-// fade returns how much knowledge of an age still counts, from 1 down to 0.
-func fade(age, horizon time.Duration) float64 {
+// decay returns the weight of a value of the given age, which falls exponentially from 1 to 0.
+func decay(age, decayTime time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp(-float64(age) / float64(horizon))
+	return math.Exp(-float64(age) / float64(decayTime))
 }
 
-// load returns how many requests the target holds, whoever sent them. A fresh report goes before own counts: runs whose
-// answers were lost hold no slot any more.
-func (t *target) load(now time.Duration) int {
-	if now-t.seenAt > loadHorizon {
-		return len(t.holds)
+// load returns the number of requests on the target, including those that this home has not placed. A recent load report
+// takes precedence over the count of runs, because runs whose response was lost no longer occupy a slot.
+func (t *targetState) load(now time.Duration) int {
+	if now-t.loadAt > maxLoadAge {
+		return len(t.runs)
 	}
-	load := t.seen
-	for _, h := range t.holds {
-		if h.started > t.seenAt-travelTime {
+	load := t.reportedLoad
+	for _, active := range t.runs {
+		if active.startedAt > t.loadAt-transitTime {
 			load++
 		}
 	}
 	return load
 }
 
-// usable reports whether the target may get requests at all.
-func (t *target) usable() bool { return !t.Leaving && !t.misplaced }
+// inService reports whether the target accepts new requests and its address is still its own.
+func (t *targetState) inService() bool { return !t.Draining && !t.otherServer }
 
-// sound reports whether nothing speaks against the target now.
-func (t *target) sound(now time.Duration) bool {
-	return t.usable() && now >= t.ejectedUntil && !t.probe.down
+// available reports whether the target is in service, not ejected and not down.
+func (t *targetState) available(now time.Duration) bool {
+	return t.inService() && now >= t.ejectedUntil && !t.probe.down
 }
 
-// slowdown returns how much longer than the base time a run that starts now should take.
-func (t *target) slowdown(now time.Duration, usualPace, crowding float64) (factor float64, crowded bool) {
-	known := fade(now-t.pacedAt, paceHorizon)
+// slowdown returns the expected duration of a run that starts now relative to its service time, and whether the run would
+// take one of the target's last slots.
+func (t *targetState) slowdown(now time.Duration, averagePace, nearlyFullSlowdown float64) (factor float64, nearlyFull bool) {
+	weight := decay(now-t.paceAt, paceDecayTime)
 	if t.pace == 0 {
-		known = 0
+		weight = 0
 	}
-	unknown := usualPace
-	if now < t.warmUntil {
-		// A report shows the pace as it is, warming up included.
-		unknown *= warmingSlowdown
+	assumed := averagePace
+	if now < t.warmUpUntil {
+		// Only the assumed pace is corrected, because a reported pace includes the effect of warming up.
+		assumed *= warmUpSlowdown
 	}
-	factor = t.pace*known + unknown*(1-known)
-	crowded = float64(t.load(now)+1) > crowdedShare*float64(t.Slots)
-	if crowded {
-		factor *= crowding
+	factor = t.pace*weight + assumed*(1-weight)
+	nearlyFull = float64(t.load(now)+1) > nearlyFullShare*float64(t.Slots)
+	if nearlyFull {
+		factor *= nearlyFullSlowdown
 	}
-	factor *= 1 + failurePenalty*t.failures*fade(now-t.failedAt, failureHorizon)
-	return factor * t.stuck(now), crowded
+	factor *= 1 + failurePenalty*t.failureRate*decay(now-t.failureRateAt, failureDecayTime)
+	return factor * t.overdueFactor(now), nearlyFull
 }
 
-// stuck returns a factor above 1 when runs on the target are overdue and none has ended since.
-func (t *target) stuck(now time.Duration) float64 {
+// overdueFactor returns a factor above 1 if a run on the target is overdue and the target has sent no response since.
+func (t *targetState) overdueFactor(now time.Duration) float64 {
 	worst := 1.0
-	for _, h := range t.holds {
-		age := now - max(h.started, t.answeredAt)
-		if ratio := float64(age) / float64(max(time.Millisecond, h.expected)); ratio > overdueRatio {
+	for _, active := range t.runs {
+		age := now - max(active.startedAt, t.answeredAt)
+		if ratio := float64(age) / float64(max(time.Millisecond, active.expected)); ratio > overdueRatio {
 			worst = max(worst, ratio)
 		}
 	}
 	return worst
 }
 
-// report takes in the target's own word.
-func (t *target) report(now time.Duration, l Load) {
+// recordLoad updates the state from a load report.
+func (t *targetState) recordLoad(now time.Duration, l LoadReport) {
 	if l.Pace > 0 {
-		t.pace, t.pacedAt = l.Pace, now
+		t.pace, t.paceAt = l.Pace, now
 	}
 	if l.Slots > 0 {
 		t.Slots = l.Slots
 	}
-	t.seen, t.seenAt = l.Running+l.Waiting, now
+	t.reportedLoad, t.loadAt = l.Running+l.Waiting, now
 }
 
-// succeeded takes in a run that ended well.
-func (t *target) succeeded(now time.Duration) {
+// recordSuccess updates the state after a run that was answered.
+func (t *targetState) recordSuccess(now time.Duration) {
 	t.answeredAt = now
-	t.inARow = 0
+	t.consecutiveFailures = 0
 	t.ejections = 0
-	t.failures *= (1 - failureGain) * fade(now-t.failedAt, failureHorizon)
-	t.failedAt = now
+	t.failureRate *= (1 - failureGain) * decay(now-t.failureRateAt, failureDecayTime)
+	t.failureRateAt = now
 }
 
-// failed takes in a run that ended badly, and ejects the target after several in a row when that is allowed.
-func (t *target) failed(now time.Duration, mayEject bool) {
-	t.failures = t.failures*fade(now-t.failedAt, failureHorizon)*(1-failureGain) + failureGain
-	t.failedAt = now
-	t.inARow++
-	if t.inARow < failuresToEject || !mayEject || now < t.ejectedUntil {
+// recordFailure updates the state after a failed run, and ejects the target after failuresToEject consecutive failures if
+// mayEject is set.
+func (t *targetState) recordFailure(now time.Duration, mayEject bool) {
+	t.failureRate = t.failureRate*decay(now-t.failureRateAt, failureDecayTime)*(1-failureGain) + failureGain
+	t.failureRateAt = now
+	t.consecutiveFailures++
+	if t.consecutiveFailures < failuresToEject || !mayEject || now < t.ejectedUntil {
 		return
 	}
-	t.ejectedUntil = now + min(longestEjection, firstEjection<<min(t.ejections, 8))
+	t.ejectedUntil = now + min(maxEjection, minEjection<<min(t.ejections, 8))
 	t.ejections++
 }
 
-func (t *target) drop(h *hold) {
-	t.holds = slices.DeleteFunc(t.holds, func(other *hold) bool { return other == h })
+func (t *targetState) removeRun(ended *run) {
+	t.runs = slices.DeleteFunc(t.runs, func(other *run) bool { return other == ended })
 }
--- a/internal/roster/target.go
+++ b/internal/roster/target.go
@@ -5,27 +5,27 @@
 	"briarcroft/internal/placement"
 )
 
-// Target is one backend server as it registered itself.
+// Target is a backend server as it has registered itself in the store.
 type Target struct {
 	placement.Target
 	Service string
 }
 
-// Item is what one entry of the store says: Configured, Registered or Neighbour.
-type Item interface{ item() }
+// DecodedEntry is the content of one entry of the store: ConfigurationEntry, TargetEntry or PeerEntry.
+type DecodedEntry interface{ decodedEntry() }
 
-// Configured is the newest configuration.
-type Configured struct{ Configuration note.Configuration }
+// ConfigurationEntry holds a configuration.
+type ConfigurationEntry struct{ Configuration note.Configuration }
 
-// Registered is one target.
-type Registered struct{ Target Target }
+// TargetEntry holds the registration of a target.
+type TargetEntry struct{ Target Target }
 
-// Neighbour is the inner address of an entry host, left in the store for hosts that know none.
-type Neighbour struct{ Inner string }
+// PeerEntry holds the address of an entry host for traffic between hosts. Hosts that know no other host yet find one here.
+type PeerEntry struct{ Inner string }
 
-func (Configured) item() {}
-func (Registered) item() {}
-func (Neighbour) item()  {}
+func (ConfigurationEntry) decodedEntry() {}
+func (TargetEntry) decodedEntry()        {}
+func (PeerEntry) decodedEntry()          {}
 
-// DecodeFunc reads one entry; it returns nil without error for a key that is none of the project's concern.
-type DecodeFunc = func(key string, value []byte) (Item, error)
+// DecodeFunc decodes an entry of the store. It returns nil without an error for a key that it does not use.
+type DecodeFunc = func(key string, value []byte) (DecodedEntry, error)
