--- a/internal/admission/gate_test.go
+++ b/internal/admission/controller_test.go
@@ -117,31 +117,31 @@
 		}
 		r.SetTargets(0, specs)
 		g := admission.New(admission.Config{Router: r, QueueLimit: limit})
-		var all []*admission.Waiter
-		inFlight := map[*admission.Waiter]bool{}
+		var all []*admission.Request
+		inFlight := map[*admission.Request]bool{}
 		now := time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
-				w := &admission.Waiter{
+				w := &admission.Request{
 					Class: admission.Class(rapid.IntRange(0, 2).Draw(t, "class")), Weight: rapid.IntRange(1, 4).Draw(t, "weight"),
 					Deadline: now + time.Duration(rapid.IntRange(1, 500).Draw(t, "deadline"))*time.Millisecond,
 				}
 				all = append(all, w)
-				g.Enter(now, w)
+				g.Submit(now, w)
 			},
 			"end": func(t *rapid.T) {
 				for w := range inFlight {
-					b := w.Verdict().(*admission.Bound)
+					b := w.Decision().(*admission.Assignment)
 					outcome := route.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))
-					g.Leave(now, b, now-b.Start, outcome)
+					g.Finish(now, b, now-b.Start, outcome)
 					delete(inFlight, w)
-					w.Avoid = "ended"
+					w.ExcludedTarget = "ended"
 					return
 				}
 			},
 			"abandon": func(t *rapid.T) {
 				if len(all) > 0 {
-					g.Abandon(all[rapid.IntRange(0, len(all)-1).Draw(t, "waiter")])
+					g.Cancel(all[rapid.IntRange(0, len(all)-1).Draw(t, "waiter")])
 				}
 			},
 			"tick": func(t *rapid.T) {
@@ -153,7 +153,7 @@
 					t.Fatalf("%d wait, the limit is %d", g.Queued(), limit)
 				}
 				for _, w := range all {
-					if _, bound := w.Verdict().(*admission.Bound); bound && w.Avoid != "ended" {
+					if _, bound := w.Decision().(*admission.Assignment); bound && w.ExcludedTarget != "ended" {
 						inFlight[w] = true
 					}
 				}
@@ -182,29 +182,29 @@
 	g, w := decision()
 	is.Equal(testing.AllocsPerRun(1000, func() { decide(g, w, 0) }), 0.0)
 	r := g.Router()
-	is.Equal(testing.AllocsPerRun(1000, func() { r.Pick(0, 0, route.None) }), 0.0)
+	is.Equal(testing.AllocsPerRun(1000, func() { r.Pick(0, 0, route.NoTarget) }), 0.0)
 	is.Equal(testing.AllocsPerRun(1000, func() {
-		count := g.Counts.At(w.Class, w.Domain)
+		count := g.Counters.At(w.Class, w.Domain)
 		count.Offered.Add(1)
 		count.Weighted.Add(int64(w.Weight))
 	}), 0.0)
 }
 
 // decision returns a gate with the targets of a planned service, and a waiter to decide on.
-func decision() (*admission.Gate, *admission.Waiter) {
+func decision() (*admission.Controller, *admission.Request) {
 	r := route.New(route.Config{Random: rand.New(rand.NewPCG(1, 1)), Overcommit: -1})
 	var specs []route.Spec
 	for i := range 20 {
 		specs = append(specs, route.Spec{Name: targetName(i), Slots: 4, RoundTrip: time.Millisecond})
 	}
 	r.SetTargets(0, specs)
-	return admission.New(admission.Config{Router: r, QueueLimit: 256}), &admission.Waiter{Weight: 2, Deadline: time.Hour}
+	return admission.New(admission.Config{Router: r, QueueLimit: 256}), &admission.Request{Weight: 2, Deadline: time.Hour}
 }
 
-func decide(g *admission.Gate, w *admission.Waiter, now time.Duration) {
-	g.Enter(now, w)
-	b := w.Verdict().(*admission.Bound)
-	g.Leave(now+10*time.Millisecond, b, 10*time.Millisecond, route.Succeeded)
+func decide(g *admission.Controller, w *admission.Request, now time.Duration) {
+	g.Submit(now, w)
+	b := w.Decision().(*admission.Assignment)
+	g.Finish(now+10*time.Millisecond, b, 10*time.Millisecond, route.Succeeded)
 }
 
 func BenchmarkDecision(b *testing.B) {
@@ -222,7 +222,7 @@
 	decide(g, w, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Router().Pick(time.Second, 0, route.None)
+		g.Router().Pick(time.Second, 0, route.NoTarget)
 	}
 }
 
@@ -230,7 +230,7 @@
 	g, w := decision()
 	b.ReportAllocs()
 	for b.Loop() {
-		count := g.Counts.At(w.Class, w.Domain)
+		count := g.Counters.At(w.Class, w.Domain)
 		count.Offered.Add(1)
 		count.Weighted.Add(int64(w.Weight))
 	}
--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -14,20 +14,20 @@
 	MaxDomains = 16
 )
 
-// Count is what one class of one failure domain did; every field only grows.
-type Count struct {
+// Counters is what one class of one failure domain did; every field only grows.
+type Counters struct {
 	Offered, Admitted, Refused atomic.Int64
 	// Weighted is the sum of the weights of admitted requests.
 	Weighted atomic.Int64
 }
 
-// Counts holds a Count per class and failure domain in one flat table.
-type Counts struct {
-	table [MaxClasses * MaxDomains]Count
+// CounterTable holds a Count per class and failure domain in one flat table.
+type CounterTable struct {
+	table [MaxClasses * MaxDomains]Counters
 }
 
 // At returns the count of a class and failure domain; numbers beyond the table share its last row.
-func (c *Counts) At(class Class, domain Domain) *Count {
+func (c *CounterTable) At(class Class, domain Domain) *Counters {
 	class = min(max(class, 0), MaxClasses-1)
 	domain = min(max(domain, 0), MaxDomains-1)
 	return &c.table[int(class)*MaxDomains+int(domain)]
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -178,9 +178,9 @@
 
 type gateHost struct {
 	domain  int
-	gate    *admission.Gate
+	gate    *admission.Controller
 	waiting []*job
-	budget  *route.Budget
+	budget  *route.RetryBudget
 }
 
 type gatedConfig struct {
@@ -199,7 +199,7 @@
 	}
 	for i := range g.homes {
 		r := route.New(route.Config{Random: rand.New(rand.NewPCG(c.seed, uint64(i))), Overcommit: g.overcommit})
-		h := &gateHost{domain: i % domains, budget: route.NewBudget(route.BudgetConfig{Ratio: hedgeBudget})}
+		h := &gateHost{domain: i % domains, budget: route.NewRetryBudget(route.RetryBudgetConfig{Ratio: hedgeBudget})}
 		var specs []route.Spec
 		for t := range c.targets {
 			trip := 2 * c.oneWay
@@ -224,11 +224,11 @@
 	if deadline == 0 {
 		deadline = 10 * time.Second
 	}
-	w := &admission.Waiter{Class: admission.Class(j.class), Weight: 1 + 3*j.class, Deadline: j.born + deadline}
+	w := &admission.Request{Class: admission.Class(j.class), Weight: 1 + 3*j.class, Deadline: j.born + deadline}
 	j.data = w
-	h.budget.First()
+	h.budget.RecordRequest()
 	h.waiting = append(h.waiting, j)
-	h.gate.Enter(s.now, w)
+	h.gate.Submit(s.now, w)
 	p.settle(s, h)
 }
 
@@ -240,19 +240,19 @@
 	if p.hedge == 0 || j.twin != nil {
 		return
 	}
-	delay := time.Duration(p.hedge * float64(h.gate.Router().Usual()))
+	delay := time.Duration(p.hedge * float64(h.gate.Router().MeanLatency()))
 	s.after(delay, func() {
-		if delay == 0 || j.done || h.gate.Queued() > 0 || !h.budget.Take() {
+		if delay == 0 || j.done || h.gate.Queued() > 0 || !h.budget.TrySpend() {
 			return
 		}
 		p.hedges++
-		first := j.data.(*admission.Waiter)
+		first := j.data.(*admission.Request)
 		twin := &job{born: j.born, remaining: j.work, work: j.work, sender: j.sender, twin: j}
 		j.twin = twin
-		w := &admission.Waiter{Class: first.Class, Weight: first.Weight, Deadline: first.Deadline, Avoid: targetName(j.target.index)}
+		w := &admission.Request{Class: first.Class, Weight: first.Weight, Deadline: first.Deadline, ExcludedTarget: targetName(j.target.index)}
 		twin.data = w
 		h.waiting = append(h.waiting, twin)
-		h.gate.Enter(s.now, w)
+		h.gate.Submit(s.now, w)
 		p.settle(s, h)
 	})
 }
@@ -265,10 +265,10 @@
 		return
 	}
 	twin.done = true
-	w := twin.data.(*admission.Waiter)
-	h.gate.Abandon(w)
-	if b, bound := w.Verdict().(*admission.Bound); bound {
-		h.gate.Leave(s.now, b, s.now-b.Start, route.Abandoned)
+	w := twin.data.(*admission.Request)
+	h.gate.Cancel(w)
+	if b, bound := w.Decision().(*admission.Assignment); bound {
+		h.gate.Finish(s.now, b, s.now-b.Start, route.Abandoned)
 		if twin.target != nil {
 			s.after(s.trip(h.domain, twin.target), func() { s.cancel(twin) })
 		}
@@ -282,13 +282,13 @@
 		if j.done {
 			continue
 		}
-		switch v := j.data.(*admission.Waiter).Verdict().(type) {
+		switch v := j.data.(*admission.Request).Decision().(type) {
 		case admission.Waiting:
 			kept = append(kept, j)
-		case *admission.Bound:
+		case *admission.Assignment:
 			s.send(j, s.targets[v.Index], h.domain)
 			p.armHedge(s, h, j)
-		case *admission.Refused:
+		case *admission.Refusal:
 			if j.twin == nil {
 				s.refuse(j)
 			}
@@ -304,11 +304,11 @@
 		if j.done {
 			return
 		}
-		b := j.data.(*admission.Waiter).Verdict().(*admission.Bound)
-		h.gate.Leave(s.now, b, s.now-b.Start, route.Succeeded)
+		b := j.data.(*admission.Request).Decision().(*admission.Assignment)
+		h.gate.Finish(s.now, b, s.now-b.Start, route.Succeeded)
 		p.cancelTwin(s, h, j)
 		if p.reports {
-			h.gate.Router().TakeReport(s.now, b.Index, route.Report{InFlight: reported})
+			h.gate.Router().ApplyReport(s.now, b.Index, route.LoadReport{InFlight: reported})
 		}
 		s.finish(j)
 		p.settle(s, h)
@@ -331,7 +331,7 @@
 		}
 		for _, h := range p.gates {
 			peers := sum - h.gate.Router().InFlight(route.Index(i))
-			s.after(s.oneWay, func() { h.gate.Router().TakePeerCounts(s.now, route.Index(i), peers) })
+			s.after(s.oneWay, func() { h.gate.Router().SetPeerInFlight(s.now, route.Index(i), peers) })
 		}
 	}
 	p.counts += len(p.gates) * (len(p.gates) - 1)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -4,14 +4,14 @@
 
 // fifo is a queue of waiters of one class, linked through the waiters so that it allocates nothing.
 type fifo struct {
-	head, tail *Waiter
+	head, tail *Request
 	size       int
 	// pass is the class's virtual time in stride scheduling; the least goes next.
 	pass   float64
 	weight float64
 }
 
-func (f *fifo) push(w *Waiter) {
+func (f *fifo) push(w *Request) {
 	w.previous, w.next = f.tail, nil
 	if f.tail == nil {
 		f.head = w
@@ -23,7 +23,7 @@
 	w.queue, w.queued = f, true
 }
 
-func (f *fifo) remove(w *Waiter) {
+func (f *fifo) remove(w *Request) {
 	if w.previous == nil {
 		f.head = w.next
 	} else {
@@ -53,7 +53,7 @@
 	return q.classes[i]
 }
 
-func (q *queue) push(w *Waiter) {
+func (q *queue) push(w *Request) {
 	f := q.class(w.Class)
 	f.weight = max(1, float64(w.Weight))
 	if f.size == 0 {
@@ -63,7 +63,7 @@
 	q.size++
 }
 
-func (q *queue) remove(w *Waiter) {
+func (q *queue) remove(w *Request) {
 	w.queue.remove(w)
 	q.size--
 }
@@ -112,7 +112,7 @@
 }
 
 // expired returns a waiter whose deadline cannot be met any more, or nil.
-func (f *fifo) expired(now, need time.Duration) *Waiter {
+func (f *fifo) expired(now, need time.Duration) *Request {
 	if f.head != nil && f.head.Deadline < now+need {
 		return f.head
 	}
--- a/internal/entry/chain_test.go
+++ b/internal/entry/chain_test.go
@@ -72,7 +72,7 @@
 func passOnCall(f *fleet, w http.ResponseWriter, r *http.Request, client *http.Transport, host *node, layer int) {
 	call, err := http.NewRequestWithContext(r.Context(), http.MethodGet, fmt.Sprintf("http://%s/%d/x", host.listen, layer), nil)
 	f.is.NoErr(err)
-	for _, name := range []string{steering.HeaderDeadline, steering.HeaderAllowance} {
+	for _, name := range []string{steering.HeaderDeadline, steering.HeaderRetryAllowance} {
 		call.Header.Set(name, r.Header.Get(name))
 	}
 	response, err := client.RoundTrip(call)
--- a/internal/entry/counts.go
+++ b/internal/entry/counts.go
@@ -107,7 +107,7 @@
 	counts := map[string]int{}
 	for _, service := range h.steering.Services() {
 		if shared[service.Name()] {
-			service.InFlight(func(target string, n int) { counts[target] = n })
+			service.ForEachInFlight(func(target string, n int) { counts[target] = n })
 		}
 	}
 	changed := len(counts) != len(last)
@@ -163,7 +163,7 @@
 	started := time.Now()
 	h.peerCounts.take(h.now(), r)
 	for _, service := range h.steering.Services() {
-		service.TakePeerCounts(r.Targets, func(target string) int { return h.peerCounts.sum(h.now(), target) })
+		service.SetPeerInFlight(r.Targets, func(target string) int { return h.peerCounts.sum(h.now(), target) })
 	}
 	h.budget.Charge(h.now(), time.Since(started))
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -22,7 +22,7 @@
 			if service == nil {
 				continue
 			}
-			requests := service.Requests()
+			requests := service.RequestCount()
 			rate := float64(requests-last[spec.Name]) / demandEvery.Seconds()
 			last[spec.Name] = requests
 			demand.Observe(h.now(), spec.Name, rate, host.Wanted(spec.Name, spec.Homes, live))
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -66,7 +66,7 @@
 	archive     *note.Archive
 	table       *host.Table
 	beats       *inner.Heartbeats
-	steering    *steering.Steering
+	steering    *steering.Dispatcher
 	claims      *claim.Table
 	sealed      *claim.Sealed
 	parts       *sealParts
@@ -156,7 +156,7 @@
 	h.book, closeBook = record.New(record.Config{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: bookRecords, Logger: h.config.Logger})
 	h.client, closeClient = inner.NewClient(inner.ClientConfig{TLS: h.peerTLS, Dial: h.config.Dial})
 	h.steering, closeSteering = steering.New(steering.Config{
-		Book: h.book, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.kickBeat, Dial: h.config.Dial,
+		Records: h.book, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.kickBeat, Dial: h.config.Dial,
 	})
 	h.archive = note.NewArchive(note.ArchiveConfig{Store: h.config.Store})
 	h.claims = claim.New(claim.Config{
--- a/internal/entry/hosts.go
+++ b/internal/entry/hosts.go
@@ -25,9 +25,9 @@
 		case service == nil:
 			// A note has just withdrawn it.
 		case addresses[t.Address]:
-			service.Drain(t.Name, route.CauseLeaving)
+			service.Drain(t.Name, route.CauseHostListLeaving)
 		case before[t.Address]:
-			service.Undrain(t.Name, route.CauseListed)
+			service.Undrain(t.Name, route.CauseHostListLive)
 		}
 	}
 	return addresses
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -99,7 +99,7 @@
 	return http.StatusGatewayTimeout
 }
 
-func keptAnswer(a claim.Answer) *steering.Answer {
+func keptAnswer(a claim.Answer) *steering.Response {
 	return wholeAnswer(a.Status, fieldsHeader(a.Fields), a.Body)
 }
 
@@ -135,7 +135,7 @@
 		return &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "NoRule"}
 	}
 	result := service.Run(ctx, r)
-	answer, answered := result.(*steering.Answer)
+	answer, answered := result.(*steering.Response)
 	if !answered {
 		refusal, _ := result.(*steering.Refusal)
 		h.finishRefused(key, refusal)
@@ -224,8 +224,8 @@
 }
 
 // wholeAnswer returns an answer whose body is at hand.
-func wholeAnswer(status int, header http.Header, body []byte) *steering.Answer {
-	return &steering.Answer{
-		Status: status, Header: header, Body: io.NopCloser(bytes.NewReader(body)), Text: body, Length: int64(len(body)), Whole: true,
+func wholeAnswer(status int, header http.Header, body []byte) *steering.Response {
+	return &steering.Response{
+		Status: status, Header: header, Body: io.NopCloser(bytes.NewReader(body)), Content: body, Length: int64(len(body)), Buffered: true,
 	}
 }
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -104,7 +104,7 @@
 	if head.Number <= before {
 		return
 	}
-	h.steering.Adopt(configuration)
+	h.steering.Apply(configuration)
 	h.inForce.Store(time.Now().UnixMilli())
 	h.table.SetNote(head.Number)
 	h.book.Add(record.Record{
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -110,7 +110,7 @@
 	deadline, _ := ctx.Deadline()
 	request := &steering.Request{
 		Method: r.Method, Host: r.Host, URI: r.Uri, Header: header, Body: r.Body, Length: int64(len(r.Body)), Rule: rule,
-		Domain: header.Get(steering.HeaderDomain), Deadline: deadline, Allowance: allowance(header),
+		Domain: header.Get(steering.HeaderDomain), Deadline: deadline, RetryAllowance: allowance(header),
 	}
 	request.Fingerprint = fingerprint(request)
 	return request, true
@@ -130,7 +130,7 @@
 	switch result := result.(type) {
 	case *steering.Refusal:
 		refuse(w, result)
-	case *steering.Answer:
+	case *steering.Response:
 		defer result.Body.Close()
 		w.header, w.status = result.Header, result.Status
 		if result.Outcome != "" {
--- a/internal/entry/probes.go
+++ b/internal/entry/probes.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		inFlight = 0
 	}
-	p.Take(route.Report{InFlight: inFlight, Draining: response.Header.Get(steering.HeaderDraining) == "true", Age: time.Since(started)}, response.StatusCode)
+	p.Apply(route.LoadReport{InFlight: inFlight, Draining: response.Header.Get(steering.HeaderDraining) == "true", Age: time.Since(started)}, response.StatusCode)
 	h.budget.Charge(h.now(), min(time.Since(started), probeCore))
 }
 
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -33,7 +33,7 @@
 	request := &steering.Request{
 		Method: r.Method, Host: r.Host, URI: r.URL.RequestURI(), Header: forwarded(r), Rule: rule, Length: r.ContentLength,
 		Idempotent: rule.IsIdempotent(r.Method), Domain: r.Header.Get(steering.HeaderDomain),
-		Deadline: arrived.Add(allowed(r, rule.Deadline)), Allowance: allowance(r.Header),
+		Deadline: arrived.Add(allowed(r, rule.Deadline)), RetryAllowance: allowance(r.Header),
 	}
 	if request.Domain == "" {
 		request.Domain = f.host.settings.Host.Domain
@@ -103,7 +103,7 @@
 
 // allowance returns how many more tries the request may make.
 func allowance(header http.Header) int {
-	if n, err := strconv.Atoi(header.Get(steering.HeaderAllowance)); err == nil && n >= 0 {
+	if n, err := strconv.Atoi(header.Get(steering.HeaderRetryAllowance)); err == nil && n >= 0 {
 		return min(n, defaultAllowance)
 	}
 	return defaultAllowance
--- a/internal/entry/through_test.go
+++ b/internal/entry/through_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	h.steering.Adopt(configuration)
+	h.steering.Apply(configuration)
 	done := make(chan error, 1)
 	go func() { done <- h.front.Serve(listener) }()
 	defer func() { _ = h.front.Close(); <-done }()
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -17,12 +17,12 @@
 	switch result := result.(type) {
 	case *steering.Refusal:
 		f.refuse(w, result)
-	case *steering.Answer:
+	case *steering.Response:
 		f.writeAnswer(w, result)
 	}
 }
 
-func (f *front) writeAnswer(w http.ResponseWriter, a *steering.Answer) {
+func (f *front) writeAnswer(w http.ResponseWriter, a *steering.Response) {
 	defer a.Body.Close()
 	dropHops(a.Header)
 	for name, values := range a.Header {
@@ -38,9 +38,9 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
 	}
 	w.WriteHeader(a.Status)
-	if a.Whole {
+	if a.Buffered {
 		// The caller went away if this fails.
-		_, _ = w.Write(a.Text)
+		_, _ = w.Write(a.Content)
 		return
 	}
 	if err := relay(w, a.Body, a.Length < 0); err != nil {
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -129,7 +129,7 @@
 	r := record.Record{Kind: record.TargetMoved, Service: service, Target: e.Target, From: route.Live.String(), To: route.Ejected.String(), Cause: string(route.CauseFailures), Note: g.chain.Number()}
 	r.Evidence.Failures = e.Failures
 	if !e.Out {
-		r.From, r.To, r.Cause = r.To, r.From, string(route.CauseReturn)
+		r.From, r.To, r.Cause = r.To, r.From, string(route.CauseEjectionEnded)
 	}
 	g.book.Add(r)
 }
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -9,28 +9,28 @@
 
 // The causes of a change of state.
 const (
-	CauseAdded     Cause = "AddedByNote"
-	CauseWithdrawn Cause = "WithdrawnByNote"
-	CauseFailures  Cause = "FailuresInARow"
-	CauseStraggler Cause = "Straggler"
-	CauseLeaving   Cause = "HostListLeaving"
-	CauseReport    Cause = "ReportedDraining"
-	CauseRefusal   Cause = "RefusedAndClosed"
-	CauseReturn    Cause = "EjectionEnded"
-	CauseRamped    Cause = "RampEnded"
-	CauseListed    Cause = "HostListLive"
+	CauseAdded            Cause = "AddedByNote"
+	CauseWithdrawn        Cause = "WithdrawnByNote"
+	CauseFailures         Cause = "FailuresInARow"
+	CauseStraggler        Cause = "Straggler"
+	CauseHostListLeaving  Cause = "HostListLeaving"
+	CauseReportedDraining Cause = "ReportedDraining"
+	CauseRefusedAndClosed Cause = "RefusedAndClosed"
+	CauseEjectionEnded    Cause = "EjectionEnded"
+	CauseRampEnded        Cause = "RampEnded"
+	CauseHostListLive     Cause = "HostListLive"
 )
 
-// Change is one change of a target's state, with the evidence for it.
-type Change struct {
+// StateChange is one change of a target's state, with the evidence for it.
+type StateChange struct {
 	Target string
 	From   State
 	To     State
 	Cause  Cause
 	// Failures is the number of failures in a row; Latency and Usual compare the target with its service.
-	Failures int
-	Latency  time.Duration
-	Usual    time.Duration
+	Failures    int
+	Latency     time.Duration
+	MeanLatency time.Duration
 }
 
 // Outcome is how a request on a target ended, as far as the target's health goes.
@@ -48,8 +48,8 @@
 	Abandoned
 )
 
-// Report is a target's own word on its load; it may be stale or wrong.
-type Report struct {
+// LoadReport is a target's own word on its load; it may be stale or wrong.
+type LoadReport struct {
 	InFlight int
 	Draining bool
 	// Age is how old the report was when it arrived.
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -117,9 +117,9 @@
 		switch {
 		case t.state == Ejected && now >= t.until:
 			t.failures, t.slow, t.fast, t.slowSince = 0, 0, 0, -1
-			r.move(now, t, Ramping, CauseReturn)
+			r.move(now, t, Ramping, CauseEjectionEnded)
 		case t.state == Ramping && now-t.since >= rampTime:
-			r.move(now, t, Live, CauseRamped)
+			r.move(now, t, Live, CauseRampEnded)
 		case t.state == Live:
 			r.checkStraggler(now, t)
 		}
@@ -145,35 +145,35 @@
 }
 
 func (r *Router) move(now time.Duration, t *target, to State, cause Cause) {
-	r.changes = append(r.changes, Change{
+	r.changes = append(r.changes, StateChange{
 		Target: t.spec.Name, From: t.state, To: to, Cause: cause, Failures: t.failures,
-		Latency: seconds(t.slow), Usual: seconds(r.usual),
+		Latency: seconds(t.slow), MeanLatency: seconds(r.usual),
 	})
 	t.state, t.cause, t.since = to, cause, now
 }
 
-// TakeChanges returns the changes of state since the last call.
-func (r *Router) TakeChanges() []Change {
+// PopChanges returns the changes of state since the last call.
+func (r *Router) PopChanges() []StateChange {
 	changes := r.changes
 	r.changes = nil
 	return changes
 }
 
-// Witness takes in what a target's report address says of its leaving. A target that drains by its own word returns
+// ApplyProbe takes in what a target's report address says of its leaving. A target that drains by its own word returns
 // only when the same address first confirmed that and then took it back: one that never confirmed it lags or misleads.
-func (r *Router) Witness(now time.Duration, i Index, draining bool) {
+func (r *Router) ApplyProbe(now time.Duration, i Index, draining bool) {
 	t := r.targets[i]
 	switch {
 	case draining:
 		t.witnessed = true
-	case t.witnessed && t.state == Draining && (t.cause == CauseReport || t.cause == CauseRefusal):
+	case t.witnessed && t.state == Draining && (t.cause == CauseReportedDraining || t.cause == CauseRefusedAndClosed):
 		t.witnessed = false
-		r.move(now, t, Ramping, CauseReport)
+		r.move(now, t, Ramping, CauseReportedDraining)
 	}
 }
 
-// Settled reports whether no target waits for a timer or to be forgotten.
-func (r *Router) Settled() bool {
+// Stable reports whether no target waits for a timer or to be forgotten.
+func (r *Router) Stable() bool {
 	return !slices.ContainsFunc(r.targets, func(t *target) bool {
 		return t.state == Ramping || t.state == Ejected || t.cause == CauseWithdrawn
 	})
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -20,7 +20,7 @@
 // Pick returns the target to run one more request, or None when it is better to wait.
 // Queued is the number of requests that wait before this one; avoid is a target not to use, or None.
 func (r *Router) Pick(now time.Duration, queued int, avoid Index) Index {
-	best, bestScore := None, 0.0
+	best, bestScore := NoTarget, 0.0
 	capacity, busy := 0, 0
 	extra := r.pressure(queued)
 	for i, t := range r.targets {
@@ -34,16 +34,16 @@
 		if len(t.starts) >= limit+extra || load >= float64(limit+extra) && len(t.starts) > 0 {
 			continue
 		}
-		if score := r.score(now, t, load); best == None || score < bestScore {
+		if score := r.score(now, t, load); best == NoTarget || score < bestScore {
 			best, bestScore = Index(i), score
 		}
 	}
-	if best == None || busy == 0 || r.usual == 0 {
+	if best == NoTarget || busy == 0 || r.usual == 0 {
 		return best
 	}
 	wait := r.usual * float64(queued+1) / float64(capacity)
 	if bestScore > patience*r.usual+wait {
-		return None
+		return NoTarget
 	}
 	return best
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -10,8 +10,8 @@
 // Index names a target of a Router until its targets are next set.
 type Index int
 
-// None is the Index of no target.
-const None Index = -1
+// NoTarget is the Index of no target.
+const NoTarget Index = -1
 
 // Config sets up a Router.
 type Config struct {
@@ -27,7 +27,7 @@
 	byName  map[string]Index
 	// usual is the service's moving mean latency in seconds, with outliers clipped.
 	usual   float64
-	changes []Change
+	changes []StateChange
 }
 
 // New returns a Router without targets.
@@ -40,7 +40,7 @@
 	if i, known := r.byName[name]; known {
 		return i
 	}
-	return None
+	return NoTarget
 }
 
 // Name returns the name of a target.
@@ -49,11 +49,11 @@
 // Size returns the number of targets known, whatever their state.
 func (r *Router) Size() int { return len(r.targets) }
 
-// Usual returns the service's usual latency.
-func (r *Router) Usual() time.Duration { return seconds(r.usual) }
+// MeanLatency returns the service's usual latency.
+func (r *Router) MeanLatency() time.Duration { return seconds(r.usual) }
 
-// Expected returns the latency to expect of a target now.
-func (r *Router) Expected(now time.Duration, i Index) time.Duration {
+// ExpectedLatency returns the latency to expect of a target now.
+func (r *Router) ExpectedLatency(now time.Duration, i Index) time.Duration {
 	return seconds(r.targets[i].estimate(now, r.usual))
 }
 
@@ -109,11 +109,11 @@
 	r.usual += (min(latency, clipRatio*r.usual) - r.usual) * usualGain
 }
 
-// TakeReport takes in a target's own word and reports whether it was believed.
-func (r *Router) TakeReport(now time.Duration, i Index, report Report) bool {
+// ApplyReport takes in a target's own word and reports whether it was believed.
+func (r *Router) ApplyReport(now time.Duration, i Index, report LoadReport) bool {
 	t := r.targets[i]
 	if report.Draining {
-		r.Drain(now, i, CauseReport)
+		r.Drain(now, i, CauseReportedDraining)
 		return true
 	}
 	own := len(t.starts)
@@ -128,8 +128,8 @@
 	return true
 }
 
-// TakePeerCounts sets the sum of other entry hosts' requests in flight on a target.
-func (r *Router) TakePeerCounts(now time.Duration, i Index, inFlight int) {
+// SetPeerInFlight sets the sum of other entry hosts' requests in flight on a target.
+func (r *Router) SetPeerInFlight(now time.Duration, i Index, inFlight int) {
 	t := r.targets[i]
 	t.peers, t.peersAt = float64(inFlight), now
 }
@@ -152,14 +152,14 @@
 // State returns the state of a target.
 func (r *Router) State(i Index) State { return r.targets[i].state }
 
-// LastNews returns when something was last learned of a target, or asked.
-func (r *Router) LastNews(i Index) time.Duration {
+// LastObserved returns when something was last learned of a target, or asked.
+func (r *Router) LastObserved(i Index) time.Duration {
 	t := r.targets[i]
 	return max(t.updated, t.asked)
 }
 
-// Asked notes that a target is being probed.
-func (r *Router) Asked(now time.Duration, i Index) { r.targets[i].asked = now }
+// MarkProbed notes that a target is being probed.
+func (r *Router) MarkProbed(now time.Duration, i Index) { r.targets[i].asked = now }
 
 // Busy reports whether any request is in flight.
 func (r *Router) Busy() bool {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -68,7 +68,7 @@
 func TestStragglerIsEjectedAndExplained(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(4)
-	r.TakeChanges()
+	r.PopChanges()
 	for now := time.Duration(0); now < 4*time.Second && r.State(0) == Live; now += 20 * time.Millisecond {
 		for i := range 4 {
 			took := 10 * time.Millisecond
@@ -80,34 +80,34 @@
 		r.Tick(now)
 	}
 	is.Equal(r.State(0), Ejected)
-	changes := r.TakeChanges()
+	changes := r.PopChanges()
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Cause, CauseStraggler)
-	is.True(changes[0].Latency > 3*changes[0].Usual)
+	is.True(changes[0].Latency > 3*changes[0].MeanLatency)
 }
 
 func TestLyingReportIsNotBelieved(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
-	is.True(r.TakeReport(0, 0, Report{InFlight: 3}))
+	is.True(r.ApplyReport(0, 0, LoadReport{InFlight: 3}))
 	is.True(r.targets[0].load(0, 0.01) > 2.9)
 	is.True(r.targets[0].load(time.Second, 0.01) < 0.1) // old knowledge loses weight
 	for range 4 {
 		r.Start(0, 0)
 	}
-	is.True(!r.TakeReport(0, 0, Report{InFlight: 0}))             // four are in flight here alone
-	is.True(!r.TakeReport(5*time.Second, 0, Report{InFlight: 9})) // not believed for a while
-	is.True(r.TakeReport(11*time.Second, 0, Report{InFlight: 4}))
+	is.True(!r.ApplyReport(0, 0, LoadReport{InFlight: 0}))             // four are in flight here alone
+	is.True(!r.ApplyReport(5*time.Second, 0, LoadReport{InFlight: 9})) // not believed for a while
+	is.True(r.ApplyReport(11*time.Second, 0, LoadReport{InFlight: 4}))
 }
 
 func TestDrainedTargetReturnsOnlyByItsWitness(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
-	r.Drain(0, 0, CauseReport)
-	r.Witness(time.Second, 0, false) // an address that never confirmed the draining
+	r.Drain(0, 0, CauseReportedDraining)
+	r.ApplyProbe(time.Second, 0, false) // an address that never confirmed the draining
 	is.Equal(r.State(0), Draining)
-	r.Witness(2*time.Second, 0, true)
-	r.Witness(3*time.Second, 0, false)
+	r.ApplyProbe(2*time.Second, 0, true)
+	r.ApplyProbe(3*time.Second, 0, false)
 	is.Equal(r.State(0), Ramping)
 }
 
@@ -126,10 +126,10 @@
 
 func TestBudgetIsARatioOfFirstTries(t *testing.T) {
 	is := is.New(t)
-	b := NewBudget(BudgetConfig{Ratio: 0.1})
+	b := NewRetryBudget(RetryBudgetConfig{Ratio: 0.1})
 	for range 1000 {
-		b.First()
-		b.Take()
+		b.RecordRequest()
+		b.TrySpend()
 	}
 	is.True(b.Spent <= 100+budgetBurst)
 	is.True(b.Spent >= 95)
@@ -148,7 +148,7 @@
 		far := 0
 		for range rounds {
 			now += near
-			i := r.Pick(now, 0, None)
+			i := r.Pick(now, 0, NoTarget)
 			took := near
 			if r.Name(i)[:3] == "far" {
 				far++
@@ -163,7 +163,7 @@
 	is.True(share(1000) < 0.02)
 	is.Equal(len(r.Eligible(nil)), 4) // nobody was ejected
 	for _, name := range []string{"near-1", "near-2"} {
-		r.Drain(now, r.Lookup(name), CauseLeaving)
+		r.Drain(now, r.Lookup(name), CauseHostListLeaving)
 	}
 	is.Equal(share(100), 1.0)
 	is.Equal(len(r.Eligible(nil)), 2)
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -45,24 +45,24 @@
 type failure struct {
 	kind    failureKind
 	target  string
-	refused *admission.Refused
+	refused *admission.Refusal
 	// answer is the target's own answer, when there was one.
-	answer *Answer
+	answer *Response
 }
 
 // attempt hands the request to one target, once.
-func (s *Service) attempt(ctx context.Context, r *Request, avoid string, try backend.Try) (*Answer, *failure) {
+func (s *Service) attempt(ctx context.Context, r *Request, avoid string, try backend.Try) (*Response, *failure) {
 	switch v := s.enter(ctx, r, avoid).(type) {
-	case *admission.Bound:
+	case *admission.Assignment:
 		return s.exchange(ctx, r, v, try)
-	case *admission.Refused:
+	case *admission.Refusal:
 		return nil, &failure{kind: failedAtGate, refused: v}
 	}
 	return nil, &failure{kind: failedGivenUp}
 }
 
 // exchange sends the request to the target that it is bound to and reads the answer.
-func (s *Service) exchange(ctx context.Context, r *Request, b *admission.Bound, try backend.Try) (*Answer, *failure) {
+func (s *Service) exchange(ctx context.Context, r *Request, b *admission.Assignment, try backend.Try) (*Response, *failure) {
 	pool := s.pool(b.Target)
 	if pool == nil {
 		s.leave(b, 0, route.Abandoned)
@@ -75,7 +75,7 @@
 		return nil, s.failed(ctx, r, b, err, started)
 	}
 	s.readReport(b.Target, response)
-	answer := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Target: b.Target}
+	answer := &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Target: b.Target}
 	if slices.Contains(r.Rule.NotRunStatuses, response.StatusCode) {
 		return nil, s.refused(b, response, answer, took)
 	}
@@ -105,7 +105,7 @@
 		out.ContentLength = 0
 	}
 	out.Header.Set(HeaderDeadline, strconv.FormatInt(max(1, time.Until(r.Deadline).Milliseconds()), 10))
-	out.Header.Set(HeaderAllowance, strconv.Itoa(r.Allowance))
+	out.Header.Set(HeaderRetryAllowance, strconv.Itoa(r.RetryAllowance))
 	return out
 }
 
@@ -114,7 +114,7 @@
 }
 
 // failed ends an attempt whose connection could not be opened or broke.
-func (s *Service) failed(ctx context.Context, r *Request, b *admission.Bound, err error, started time.Duration) *failure {
+func (s *Service) failed(ctx context.Context, r *Request, b *admission.Assignment, err error, started time.Duration) *failure {
 	now := s.steering.config.Clock()
 	switch {
 	case errorx.IsOfType(err, backend.ErrNotSent) && ctx.Err() != nil:
@@ -139,7 +139,7 @@
 	if r.Fingerprint == 0 || !s.steering.config.Quarantine.Broke(now, started, r.Fingerprint, target) {
 		return route.Failed
 	}
-	s.steering.config.Book.Add(record.Record{
+	s.steering.config.Records.Add(record.Record{
 		Kind: record.Quarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.steering.note(),
 		Evidence: record.Evidence{Detail: strconv.FormatUint(r.Fingerprint, 16)},
 	})
@@ -148,18 +148,18 @@
 }
 
 // refused ends an attempt that the target refused under the rule.
-func (s *Service) refused(b *admission.Bound, response *http.Response, answer *Answer, took time.Duration) *failure {
+func (s *Service) refused(b *admission.Assignment, response *http.Response, answer *Response, took time.Duration) *failure {
 	s.leave(b, took, route.Refused)
 	s.readRefusal(answer, response)
 	answer.Outcome = claim.NotRun
 	if response.Close {
-		s.Drain(b.Target, route.CauseRefusal)
+		s.Drain(b.Target, route.CauseRefusedAndClosed)
 	}
 	return &failure{kind: failedRefused, target: b.Target, answer: answer}
 }
 
 // readRefusal reads the start of a refusal's body, so that it can be passed on if no other target answers.
-func (s *Service) readRefusal(answer *Answer, response *http.Response) {
+func (s *Service) readRefusal(answer *Response, response *http.Response) {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, bufferBytes))
 	// A refusal is passed on as far as it was read.
 	_ = response.Body.Close()
@@ -169,18 +169,18 @@
 // readReport takes in the load that a target reports on its answers.
 func (s *Service) readReport(target string, response *http.Response) {
 	if response.Header.Get(HeaderDraining) == "true" {
-		s.report(target, route.Report{Draining: true})
+		s.report(target, route.LoadReport{Draining: true})
 		return
 	}
 	if text := response.Header.Get(HeaderLoad); text != "" {
 		if n, err := strconv.Atoi(text); err == nil && n >= 0 {
-			s.report(target, route.Report{InFlight: n})
+			s.report(target, route.LoadReport{InFlight: n})
 		}
 	}
 }
 
 // readAnswer reads a small answer whole and leaves a large one to stream.
-func (s *Service) readAnswer(ctx context.Context, r *Request, b *admission.Bound, response *http.Response, answer *Answer, started time.Duration) (*Answer, *failure) {
+func (s *Service) readAnswer(ctx context.Context, r *Request, b *admission.Assignment, response *http.Response, answer *Response, started time.Duration) (*Response, *failure) {
 	end := func(outcome route.Outcome) { s.leave(b, s.steering.config.Clock()-started, outcome) }
 	if response.ContentLength > bufferBytes || response.Header.Get("Content-Type") == "text/event-stream" {
 		s.streamAnswer(ctx, r, answer, response, end)
@@ -227,8 +227,8 @@
 }
 
 // keep makes text the whole body of the answer.
-func (a *Answer) keep(text []byte) {
-	a.Body, a.Text, a.Length, a.Whole = io.NopCloser(bytes.NewReader(text)), text, int64(len(text)), true
+func (a *Response) keep(text []byte) {
+	a.Body, a.Content, a.Length, a.Buffered = io.NopCloser(bytes.NewReader(text)), text, int64(len(text)), true
 }
 
 func outcomeOf(err error) route.Outcome {
--- a/internal/steering/steering.go
+++ b/internal/steering/dispatcher.go
@@ -17,7 +17,7 @@
 
 // Config sets up Steering.
 type Config struct {
-	Book       *record.Book
+	Records    *record.Book
 	Quarantine *claim.Quarantine
 	// Clock is the host's monotonic clock.
 	Clock func() time.Duration
@@ -28,8 +28,8 @@
 	Dial backend.DialFunc
 }
 
-// Steering holds the services of the note in force.
-type Steering struct {
+// Dispatcher holds the services of the note in force.
+type Dispatcher struct {
 	config  Config
 	mu      sync.Mutex
 	current atomic.Pointer[view]
@@ -43,23 +43,23 @@
 }
 
 // New returns Steering without services, and the function that closes its connections.
-func New(c Config) (*Steering, func()) {
-	s := &Steering{config: c}
+func New(c Config) (*Dispatcher, func()) {
+	s := &Dispatcher{config: c}
 	s.current.Store(&view{services: map[string]*Service{}})
 	return s, s.close
 }
 
-func (s *Steering) close() {
+func (s *Dispatcher) close() {
 	for _, service := range s.current.Load().services {
 		service.close()
 	}
 }
 
 // Configuration returns the configuration in force.
-func (s *Steering) Configuration() note.Configuration { return s.current.Load().configuration }
+func (s *Dispatcher) Configuration() note.Configuration { return s.current.Load().configuration }
 
-// Adopt puts a configuration in force; one with a lower number is left out.
-func (s *Steering) Adopt(c note.Configuration) {
+// Apply puts a configuration in force; one with a lower number is left out.
+func (s *Dispatcher) Apply(c note.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.current.Load()
@@ -85,7 +85,7 @@
 }
 
 // Match returns the rule and the service for a request.
-func (s *Steering) Match(host, path, method string) (note.Rule, *Service, bool) {
+func (s *Dispatcher) Match(host, path, method string) (note.Rule, *Service, bool) {
 	v := s.current.Load()
 	rule, found := v.configuration.Match(host, path, method)
 	if !found {
@@ -96,10 +96,10 @@
 }
 
 // Services returns the running services.
-func (s *Steering) Services() map[string]*Service { return s.current.Load().services }
+func (s *Dispatcher) Services() map[string]*Service { return s.current.Load().services }
 
 // Tick runs the timers of every service and reports whether any has requests.
-func (s *Steering) Tick() bool {
+func (s *Dispatcher) Tick() bool {
 	busy := false
 	for _, service := range s.Services() {
 		busy = service.tick() || busy
@@ -107,7 +107,7 @@
 	return busy
 }
 
-func (s *Steering) note() int { return s.current.Load().configuration.Number }
+func (s *Dispatcher) note() int { return s.current.Load().configuration.Number }
 
 // domains numbers the callers' failure domains in the order in which they are first seen.
 type domains struct {
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -33,23 +33,23 @@
 	// won is 0 until a try has answered, then 1 for the first and 2 for the second.
 	won    atomic.Int32
 	done   chan struct{}
-	answer *Answer
+	answer *Response
 	failed *failure
 }
 
 // hedged makes one attempt and a second one beside it when the answer is late.
-func (s *Service) hedged(ctx context.Context, r *Request, avoid string) (*Answer, *failure) {
+func (s *Service) hedged(ctx context.Context, r *Request, avoid string) (*Response, *failure) {
 	switch v := s.enter(ctx, r, avoid).(type) {
-	case *admission.Bound:
+	case *admission.Assignment:
 		return s.race(ctx, r, v)
-	case *admission.Refused:
+	case *admission.Refusal:
 		return nil, &failure{kind: failedAtGate, refused: v}
 	}
 	return nil, &failure{kind: failedGivenUp}
 }
 
 // race sends a bound request and a second try beside it when the first is late.
-func (s *Service) race(ctx context.Context, r *Request, b *admission.Bound) (*Answer, *failure) {
+func (s *Service) race(ctx context.Context, r *Request, b *admission.Assignment) (*Response, *failure) {
 	first, cancelFirst := context.WithCancel(ctx)
 	second, cancelSecond := context.WithCancel(ctx)
 	h := &hedge{service: s, request: r, ctx: second, cancelFirst: cancelFirst, avoid: b.Target, done: make(chan struct{})}
@@ -87,7 +87,7 @@
 		return
 	}
 	again := *h.request
-	again.Allowance = 0
+	again.RetryAllowance = 0
 	h.answer, h.failed = h.service.attempt(h.ctx, &again, h.avoid, backend.Try{Fresh: true})
 	if h.failed != nil {
 		return
@@ -110,7 +110,7 @@
 // hedgeDelay returns how long a try may take before a second one starts.
 func (s *Service) hedgeDelay() time.Duration {
 	s.mu.Lock()
-	usual := s.gate.Router().Usual()
+	usual := s.gate.Router().MeanLatency()
 	s.mu.Unlock()
 	if usual == 0 {
 		return unknownHedge
@@ -129,8 +129,8 @@
 }
 
 // release ties a try's context to the end of its answer.
-func release(answer *Answer, cancel context.CancelFunc) *Answer {
-	if answer == nil || answer.Whole {
+func release(answer *Response, cancel context.CancelFunc) *Response {
+	if answer == nil || answer.Buffered {
 		cancel()
 		return answer
 	}
--- a/internal/steering/probe.go
+++ b/internal/steering/probe.go
@@ -24,7 +24,7 @@
 }
 
 // Probes returns the targets whose report would help now: those out of service and those that have been idle.
-func (s *Steering) Probes() []Probe {
+func (s *Dispatcher) Probes() []Probe {
 	var list []Probe
 	for _, service := range s.Services() {
 		list = append(list, service.probes()...)
@@ -42,18 +42,18 @@
 	var list []Probe
 	for name, pool := range s.pools {
 		i := s.gate.Router().Lookup(name)
-		if i == route.None || now-s.gate.Router().LastNews(i) < probeIdle || s.probeCredit < 1 {
+		if i == route.NoTarget || now-s.gate.Router().LastObserved(i) < probeIdle || s.probeCredit < 1 {
 			continue
 		}
 		s.probeCredit--
-		s.gate.Router().Asked(now, i)
+		s.gate.Router().MarkProbed(now, i)
 		list = append(list, Probe{pool.target.Address, s.spec.ReportPath, pool.target.Domain, s, name})
 	}
 	return list
 }
 
-// Take takes in the answer to a probe.
-func (p Probe) Take(report route.Report, status int) {
+// Apply takes in the answer to a probe.
+func (p Probe) Apply(report route.LoadReport, status int) {
 	p.service.report(p.target, report)
 	if status == http.StatusOK {
 		p.service.witness(p.target, report.Draining)
@@ -64,14 +64,14 @@
 func (s *Service) witness(target string, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.None {
-		s.gate.Router().Witness(s.steering.config.Clock(), i, draining)
+	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
+		s.gate.Router().ApplyProbe(s.steering.config.Clock(), i, draining)
 	}
 	s.explain(s.steering.note())
 }
 
-// InFlight calls each with own requests in flight on the targets that have any.
-func (s *Service) InFlight(each func(target string, inFlight int)) {
+// ForEachInFlight calls each with own requests in flight on the targets that have any.
+func (s *Service) ForEachInFlight(each func(target string, inFlight int)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	router := s.gate.Router()
@@ -85,8 +85,8 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return s.name }
 
-// Requests returns how many requests the service has had here.
-func (s *Service) Requests() int64 {
+// RequestCount returns how many requests the service has had here.
+func (s *Service) RequestCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
--- a/internal/steering/request.go
+++ b/internal/steering/request.go
@@ -11,15 +11,15 @@
 
 // Header fields that briarcroft reads and writes.
 const (
-	HeaderOutcome   = "Briarcroft-Outcome"
-	HeaderReason    = "Briarcroft-Reason"
-	HeaderDeadline  = "Briarcroft-Deadline-Milliseconds"
-	HeaderAllowance = "Briarcroft-Retry-Allowance"
-	HeaderRetry     = "Briarcroft-Retry"
-	HeaderDomain    = "Briarcroft-Domain"
-	HeaderTarget    = "Briarcroft-Target"
-	HeaderLoad      = "Load-In-Flight"
-	HeaderDraining  = "Load-Draining"
+	HeaderOutcome        = "Briarcroft-Outcome"
+	HeaderReason         = "Briarcroft-Reason"
+	HeaderDeadline       = "Briarcroft-Deadline-Milliseconds"
+	HeaderRetryAllowance = "Briarcroft-Retry-Allowance"
+	HeaderRetry          = "Briarcroft-Retry"
+	HeaderDomain         = "Briarcroft-Domain"
+	HeaderTarget         = "Briarcroft-Target"
+	HeaderLoad           = "Load-In-Flight"
+	HeaderDraining       = "Load-Draining"
 	// RetryDone is the value of HeaderRetry that ends the retries of all layers above.
 	RetryDone = "Done"
 )
@@ -42,8 +42,8 @@
 	Fingerprint uint64
 	Domain      string
 	Deadline    time.Time
-	// Allowance is how many more tries this request and all that it causes may make.
-	Allowance int
+	// RetryAllowance is how many more tries this request and all that it causes may make.
+	RetryAllowance int
 	// Detached requests go on after their caller went away, to keep their answer for a resend.
 	Detached bool
 }
@@ -54,17 +54,17 @@
 // Result is how a request ended: *Answer or *Refusal.
 type Result interface{ result() }
 
-// Answer is a backend server's answer; Body must be closed.
-type Answer struct {
+// Response is a backend server's answer; Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 	// Length is the body's size, or -1 when it is not known.
 	Length int64
-	// Whole is set when the body has been read and checked already; Text then holds it beside Body.
-	Whole  bool
-	Text   []byte
-	Target string
+	// Buffered is set when the body has been read and checked already; Text then holds it beside Body.
+	Buffered bool
+	Content  []byte
+	Target   string
 	// Outcome is set when the answer is the backend's refusal.
 	Outcome claim.Outcome
 }
@@ -79,5 +79,5 @@
 	RetryDone bool
 }
 
-func (*Answer) result()  {}
-func (*Refusal) result() {}
+func (*Response) result() {}
+func (*Refusal) result()  {}
--- a/internal/steering/run.go
+++ b/internal/steering/run.go
@@ -28,14 +28,14 @@
 		if try >= maxTries || !s.takeRetry() {
 			return giveUp(ctx, r, failed, true)
 		}
-		r.Allowance = max(0, r.Allowance-1)
+		r.RetryAllowance = max(0, r.RetryAllowance-1)
 		avoid = failed.target
 	}
 }
 
 // try makes one attempt, hedged when the request may run twice.
-func (s *Service) try(ctx context.Context, r *Request, avoid string) (*Answer, *failure) {
-	if r.Idempotent && r.replayable() && r.Allowance > 0 {
+func (s *Service) try(ctx context.Context, r *Request, avoid string) (*Response, *failure) {
+	if r.Idempotent && r.replayable() && r.RetryAllowance > 0 {
 		return s.hedged(ctx, r, avoid)
 	}
 	return s.attempt(ctx, r, avoid, backend.Try{Proven: !r.Idempotent})
@@ -43,7 +43,7 @@
 
 // mayRetry reports whether handing the request over again is safe and of use.
 func mayRetry(ctx context.Context, r *Request, f *failure) bool {
-	if ctx.Err() != nil || r.Allowance <= 0 {
+	if ctx.Err() != nil || r.RetryAllowance <= 0 {
 		return false
 	}
 	switch f.kind {
@@ -62,7 +62,7 @@
 
 // giveUp turns the last failure into what the caller gets; denied is set when a retry was of use but not allowed.
 func giveUp(ctx context.Context, r *Request, f *failure, denied bool) Result {
-	done := denied || r.Allowance <= 0
+	done := denied || r.RetryAllowance <= 0
 	if f.answer != nil {
 		if done {
 			f.answer.Header.Set(HeaderRetry, RetryDone)
@@ -90,7 +90,7 @@
 func (s *Service) firstTry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.First()
+	s.budget.RecordRequest()
 	s.requests++
 	s.probeCredit = min(maxProbeCredit, s.probeCredit+probePerRequest)
 }
@@ -99,7 +99,7 @@
 func (s *Service) takeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Take()
+	return s.budget.TrySpend()
 }
 
 func parseURI(uri string) *url.URL {
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -18,10 +18,10 @@
 // Service runs the requests of one service on one entry host.
 type Service struct {
 	name     string
-	steering *Steering
+	steering *Dispatcher
 	mu       sync.Mutex
-	gate     *admission.Gate
-	budget   *route.Budget
+	gate     *admission.Controller
+	budget   *route.RetryBudget
 	pools    map[string]*targetPool
 	classes  map[string]admission.Class
 	spec     note.Service
@@ -38,11 +38,11 @@
 	target note.Target
 }
 
-func newService(s *Steering, spec note.Service) *Service {
+func newService(s *Dispatcher, spec note.Service) *Service {
 	return &Service{
 		name: spec.Name, steering: s, pools: map[string]*targetPool{}, classes: map[string]admission.Class{},
 		gate:   admission.New(admission.Config{Router: newRouter(s.config.Seed), QueueLimit: spec.QueueLimit}),
-		budget: route.NewBudget(route.BudgetConfig{Ratio: spec.RetryRatio}),
+		budget: route.NewRetryBudget(route.RetryBudgetConfig{Ratio: spec.RetryRatio}),
 	}
 }
 
@@ -92,42 +92,42 @@
 }
 
 // enter waits at the gate; the verdict is *admission.Bound or *admission.Refused, or nil when the context ended first.
-func (s *Service) enter(ctx context.Context, r *Request, avoid string) admission.Verdict {
+func (s *Service) enter(ctx context.Context, r *Request, avoid string) admission.Decision {
 	now := s.steering.config.Clock()
-	w := &admission.Waiter{
+	w := &admission.Request{
 		Weight: r.Rule.Weight, Domain: s.steering.domains.number(r.Domain),
-		Deadline: now + time.Until(r.Deadline), Avoid: avoid,
+		Deadline: now + time.Until(r.Deadline), ExcludedTarget: avoid,
 	}
 	s.mu.Lock()
 	w.Class = s.classes[r.Rule.Class]
-	s.gate.Enter(now, w)
-	verdict := w.Verdict()
+	s.gate.Submit(now, w)
+	verdict := w.Decision()
 	if _, waits := verdict.(admission.Waiting); !waits {
 		s.noteOverload()
 		s.mu.Unlock()
 		return verdict
 	}
-	w.Ready = make(chan struct{}, 1)
+	w.Decided = make(chan struct{}, 1)
 	s.noteOverload()
 	s.mu.Unlock()
 	select {
-	case <-w.Ready:
+	case <-w.Decided:
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.Abandon(w)
-	if _, waits := w.Verdict().(admission.Waiting); waits {
+	s.gate.Cancel(w)
+	if _, waits := w.Decision().(admission.Waiting); waits {
 		return nil
 	}
-	return w.Verdict()
+	return w.Decision()
 }
 
 // leave ends a bound request.
-func (s *Service) leave(b *admission.Bound, took time.Duration, outcome route.Outcome) {
+func (s *Service) leave(b *admission.Assignment, took time.Duration, outcome route.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.Leave(s.steering.config.Clock(), b, took, outcome)
+	s.gate.Finish(s.steering.config.Clock(), b, took, outcome)
 	s.explain(s.steering.note())
 }
 
@@ -142,26 +142,26 @@
 func (s *Service) expected(target string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.None {
-		return s.gate.Router().Expected(s.steering.config.Clock(), i)
+	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
+		return s.gate.Router().ExpectedLatency(s.steering.config.Clock(), i)
 	}
 	return 0
 }
 
 // report takes in what a target says of itself.
-func (s *Service) report(target string, report route.Report) {
+func (s *Service) report(target string, report route.LoadReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	router := s.gate.Router()
 	i := router.Lookup(target)
-	if i == route.None {
+	if i == route.NoTarget {
 		return
 	}
 	now := s.steering.config.Clock()
 	if report.Draining {
-		router.Drain(now, i, route.CauseReport)
+		router.Drain(now, i, route.CauseReportedDraining)
 	} else {
-		router.TakeReport(now, i, report)
+		router.ApplyReport(now, i, report)
 	}
 	s.explain(s.steering.note())
 }
@@ -170,7 +170,7 @@
 func (s *Service) Drain(target string, cause route.Cause) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.None {
+	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
 		s.gate.Router().Drain(s.steering.config.Clock(), i, cause)
 	}
 	s.explain(s.steering.note())
@@ -180,19 +180,19 @@
 func (s *Service) Undrain(target string, cause route.Cause) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.None {
+	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
 		s.gate.Router().Undrain(s.steering.config.Clock(), i, cause)
 	}
 	s.explain(s.steering.note())
 }
 
-// TakePeerCounts takes in other entry hosts' requests in flight on those targets that are the service's own.
-func (s *Service) TakePeerCounts(targets []string, inFlight func(target string) int) {
+// SetPeerInFlight takes in other entry hosts' requests in flight on those targets that are the service's own.
+func (s *Service) SetPeerInFlight(targets []string, inFlight func(target string) int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, target := range targets {
-		if i := s.gate.Router().Lookup(target); i != route.None {
-			s.gate.Router().TakePeerCounts(s.steering.config.Clock(), i, inFlight(target))
+		if i := s.gate.Router().Lookup(target); i != route.NoTarget {
+			s.gate.Router().SetPeerInFlight(s.steering.config.Clock(), i, inFlight(target))
 		}
 	}
 }
@@ -203,11 +203,11 @@
 	defer s.mu.Unlock()
 	router := s.gate.Router()
 	busy := s.gate.Queued() > 0 || router.Busy()
-	if !busy && router.Settled() {
+	if !busy && router.Stable() {
 		return false
 	}
 	for name, pool := range s.pools {
-		if i := router.Lookup(name); i != route.None {
+		if i := router.Lookup(name); i != route.NoTarget {
 			router.SetRoundTrip(i, pool.RoundTrip())
 		}
 	}
@@ -221,10 +221,10 @@
 // dropPools closes the pools of targets that the router has forgotten.
 func (s *Service) dropPools(router *route.Router) {
 	for name, pool := range s.pools {
-		if router.Lookup(name) == route.None {
+		if router.Lookup(name) == route.NoTarget {
 			pool.close()
 			delete(s.pools, name)
-			s.steering.config.Book.Add(record.Record{Kind: record.TargetForgotten, Service: s.name, Target: name, Note: s.steering.note()})
+			s.steering.config.Records.Add(record.Record{Kind: record.TargetForgotten, Service: s.name, Target: name, Note: s.steering.note()})
 		}
 	}
 }
@@ -240,19 +240,19 @@
 	if overload {
 		kind = record.OverloadBegan
 	}
-	s.steering.config.Book.Add(record.Record{
+	s.steering.config.Records.Add(record.Record{
 		Kind: kind, Service: s.name, Note: s.steering.note(), Cause: "QueueRefused",
-		Evidence: record.Evidence{Queued: s.gate.Queued(), Usual: s.gate.Router().Usual()},
+		Evidence: record.Evidence{Queued: s.gate.Queued(), Usual: s.gate.Router().MeanLatency()},
 	})
 }
 
 // explain writes a record for each change of a target's state.
 func (s *Service) explain(number int) {
-	for _, c := range s.gate.Router().TakeChanges() {
-		s.steering.config.Book.Add(record.Record{
+	for _, c := range s.gate.Router().PopChanges() {
+		s.steering.config.Records.Add(record.Record{
 			Kind: record.TargetMoved, Service: s.name, Target: c.Target, From: c.From.String(), To: c.To.String(),
 			Cause: string(c.Cause), Note: number,
-			Evidence: record.Evidence{Failures: c.Failures, Latency: c.Latency, Usual: c.Usual},
+			Evidence: record.Evidence{Failures: c.Failures, Latency: c.Latency, Usual: c.MeanLatency},
 		})
 	}
 }
--- a/internal/steering/status.go
+++ b/internal/steering/status.go
@@ -50,7 +50,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	router := s.gate.Router()
-	status := Status{Service: s.name, Queued: s.gate.Queued(), Usual: router.Usual(), Retries: s.budget.Spent, Denied: s.budget.Denied}
+	status := Status{Service: s.name, Queued: s.gate.Queued(), Usual: router.MeanLatency(), Retries: s.budget.Spent, Denied: s.budget.Denied}
 	for i := range router.Size() {
 		index := route.Index(i)
 		t := TargetStatus{Target: router.Name(index), State: router.State(index).String(), InFlight: router.InFlight(index)}
@@ -68,7 +68,7 @@
 	names := s.steering.domains.names()
 	for class, number := range s.classes {
 		for domain, name := range names {
-			c := s.gate.Counts.At(number, domain)
+			c := s.gate.Counters.At(number, domain)
 			if c.Offered.Load() == 0 {
 				continue
 			}
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -29,7 +29,7 @@
 	err         error
 }
 
-func (s *Service) streamAnswer(ctx context.Context, r *Request, answer *Answer, response *http.Response, end func(route.Outcome)) {
+func (s *Service) streamAnswer(ctx context.Context, r *Request, answer *Response, response *http.Response, end func(route.Outcome)) {
 	answer.Body = &stream{
 		service: s, ctx: ctx, request: r, body: response.Body, target: answer.Target,
 		etag: resumeTag(r, response), total: response.ContentLength, end: end,
