--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -31,17 +31,17 @@
 	// It is nil when the owner looks at Verdict itself.
 	Decided chan struct{}
 
-	verdict        Decision
-	bound          Assignment
-	refused        Refusal
+	decision       Decision
+	assignment     Assignment
+	refusal        Refusal
 	previous, next *Request
-	queue          *fifo
-	// queued is set once the waiter has been in the queue; only then is Ready signalled.
-	queued bool
+	classQueue     *classQueue
+	// wasQueued is set once the waiter has been in the queue; only then is Ready signalled.
+	wasQueued bool
 }
 
 // Decision is the gate's decision on a waiter: Waiting, Bound or Refused.
-type Decision interface{ verdict() }
+type Decision interface{ isDecision() }
 
 // Waiting means that the request is in the queue.
 type Waiting struct{}
@@ -59,12 +59,12 @@
 	RetryAfter time.Duration
 }
 
-func (Waiting) verdict()     {}
-func (*Assignment) verdict() {}
-func (*Refusal) verdict()    {}
+func (Waiting) isDecision()     {}
+func (*Assignment) isDecision() {}
+func (*Refusal) isDecision()    {}
 
 // Decision returns the decision so far.
-func (w *Request) Decision() Decision { return w.verdict }
+func (r *Request) Decision() Decision { return r.decision }
 
 // Config sets up a Gate.
 type Config struct {
@@ -74,160 +74,160 @@
 
 // Controller joins one service's queue with its router. It is not safe for concurrent use.
 type Controller struct {
-	router   *route.Router
-	limit    int
-	queue    queue
-	Counters CounterTable
-	overload bool
+	router     *route.Router
+	queueLimit int
+	queue      queue
+	Counters   CounterTable
+	overloaded bool
 }
 
 // New returns an open gate.
 func New(c Config) *Controller {
-	return &Controller{router: c.Router, limit: c.QueueLimit}
+	return &Controller{router: c.Router, queueLimit: c.QueueLimit}
 }
 
 // Router returns the router behind the gate.
-func (g *Controller) Router() *route.Router { return g.router }
+func (c *Controller) Router() *route.Router { return c.router }
 
 // SetQueueLimit changes the most requests that may wait.
-func (g *Controller) SetQueueLimit(limit int) { g.limit = limit }
+func (c *Controller) SetQueueLimit(limit int) { c.queueLimit = limit }
 
 // Queued returns the number of waiting requests.
-func (g *Controller) Queued() int { return g.queue.size }
+func (c *Controller) Queued() int { return c.queue.size }
 
 // Overloaded reports whether the queue has refused lately and has not emptied since.
-func (g *Controller) Overloaded() bool { return g.overload }
+func (c *Controller) Overloaded() bool { return c.overloaded }
 
 // Submit offers a request; its verdict is set when Enter returns.
-func (g *Controller) Submit(now time.Duration, w *Request) {
-	count := g.Counters.At(w.Class, w.Domain)
-	count.Offered.Add(1)
-	w.verdict = Waiting{}
-	if g.router.Capacity(now) == 1 && len(g.router.Eligible(nil)) == 0 {
-		g.refuse(w, ReasonNoTargets, time.Second)
+func (c *Controller) Submit(now time.Duration, r *Request) {
+	counters := c.Counters.At(r.Class, r.Domain)
+	counters.Offered.Add(1)
+	r.decision = Waiting{}
+	if c.router.Capacity(now) == 1 && len(c.router.Eligible(nil)) == 0 {
+		c.refuse(r, ReasonNoTargets, time.Second)
 		return
 	}
-	if g.queue.size == 0 && g.bind(now, w) {
+	if c.queue.size == 0 && c.assign(now, r) {
 		return
 	}
-	g.enqueue(now, w)
+	c.enqueue(now, r)
 }
 
-func (g *Controller) enqueue(now time.Duration, w *Request) {
-	wait := g.predictWait(now, g.queue.ahead(w.Class, w.Weight))
-	if now+wait+g.router.MeanLatency() > w.Deadline {
-		g.overload = true
-		g.refuse(w, ReasonDeadlineCannotBeMet, wait)
+func (c *Controller) enqueue(now time.Duration, r *Request) {
+	wait := c.predictWait(now, c.queue.aheadOf(r.Class, r.Weight))
+	if now+wait+c.router.MeanLatency() > r.Deadline {
+		c.overloaded = true
+		c.refuse(r, ReasonDeadlineCannotBeMet, wait)
 		return
 	}
-	if g.queue.size < g.limit {
-		g.queue.push(w)
+	if c.queue.size < c.queueLimit {
+		c.queue.push(r)
 		return
 	}
-	g.overload = true
-	g.displace(now, w)
+	c.overloaded = true
+	c.displace(now, r)
 }
 
 // displace makes room in a full queue by refusing the newest waiter of the class furthest over its share.
-func (g *Controller) displace(now time.Duration, w *Request) {
-	worst := g.queue.mostOverShare()
-	own := g.queue.class(w.Class)
-	weight := max(1, float64(w.Weight))
-	if worst == nil || worst == own || float64(own.size+1)/weight >= float64(worst.size)/worst.weight {
-		g.refuse(w, ReasonQueueFull, g.predictWait(now, g.queue.size))
+func (c *Controller) displace(now time.Duration, r *Request) {
+	overShare := c.queue.furthestOverShare()
+	ownQueue := c.queue.classQueue(r.Class)
+	weight := max(1, float64(r.Weight))
+	if overShare == nil || overShare == ownQueue || float64(ownQueue.size+1)/weight >= float64(overShare.size)/overShare.weight {
+		c.refuse(r, ReasonQueueFull, c.predictWait(now, c.queue.size))
 		return
 	}
-	victim := worst.tail
-	g.queue.remove(victim)
-	g.refuse(victim, ReasonDisplaced, g.predictWait(now, g.queue.size))
-	g.queue.push(w)
+	displaced := overShare.tail
+	c.queue.remove(displaced)
+	c.refuse(displaced, ReasonDisplaced, c.predictWait(now, c.queue.size))
+	c.queue.push(r)
 }
 
 // predictWait returns how long the given number of waiters takes to be served.
-func (g *Controller) predictWait(now time.Duration, ahead int) time.Duration {
-	usual := g.router.MeanLatency()
-	if usual == 0 {
+func (c *Controller) predictWait(now time.Duration, ahead int) time.Duration {
+	meanLatency := c.router.MeanLatency()
+	if meanLatency == 0 {
 		return 0
 	}
-	return usual * time.Duration(ahead+1) / time.Duration(g.router.Capacity(now))
+	return meanLatency * time.Duration(ahead+1) / time.Duration(c.router.Capacity(now))
 }
 
-func (g *Controller) refuse(w *Request, reason Reason, retryAfter time.Duration) {
-	g.Counters.At(w.Class, w.Domain).Refused.Add(1)
-	w.refused = Refusal{reason, retryAfter}
-	w.verdict = &w.refused
-	w.signal()
+func (c *Controller) refuse(r *Request, reason Reason, retryAfter time.Duration) {
+	c.Counters.At(r.Class, r.Domain).Refused.Add(1)
+	r.refusal = Refusal{reason, retryAfter}
+	r.decision = &r.refusal
+	r.signal()
 }
 
-func (w *Request) signal() {
-	if w.queued && w.Decided != nil {
-		w.Decided <- struct{}{}
+func (r *Request) signal() {
+	if r.wasQueued && r.Decided != nil {
+		r.Decided <- struct{}{}
 	}
 }
 
-// bind hands the waiter to a target and reports whether one was free.
-func (g *Controller) bind(now time.Duration, w *Request) bool {
-	avoid := route.NoTarget
-	if w.ExcludedTarget != "" {
-		avoid = g.router.Lookup(w.ExcludedTarget)
+// assign hands the waiter to a target and reports whether one was free.
+func (c *Controller) assign(now time.Duration, r *Request) bool {
+	excluded := route.NoTarget
+	if r.ExcludedTarget != "" {
+		excluded = c.router.Lookup(r.ExcludedTarget)
 	}
-	i := g.router.Pick(now, g.queue.size, avoid)
+	i := c.router.Pick(now, c.queue.size, excluded)
 	if i == route.NoTarget {
 		return false
 	}
-	g.router.Start(now, i)
-	count := g.Counters.At(w.Class, w.Domain)
-	count.Admitted.Add(1)
-	count.Weighted.Add(int64(w.Weight))
-	w.bound = Assignment{g.router.Name(i), i, now}
-	w.verdict = &w.bound
-	w.signal()
+	c.router.Start(now, i)
+	counters := c.Counters.At(r.Class, r.Domain)
+	counters.Admitted.Add(1)
+	counters.Weighted.Add(int64(r.Weight))
+	r.assignment = Assignment{c.router.Name(i), i, now}
+	r.decision = &r.assignment
+	r.signal()
 	return true
 }
 
 // Finish ends a bound request that took so long to its answer, and binds waiters to what became free.
-func (g *Controller) Finish(now time.Duration, b *Assignment, took time.Duration, outcome route.Outcome) {
-	if i := g.router.Lookup(b.Target); i != route.NoTarget {
-		g.router.Finish(now, i, b.Start, took, outcome)
+func (c *Controller) Finish(now time.Duration, a *Assignment, latency time.Duration, outcome route.Outcome) {
+	if i := c.router.Lookup(a.Target); i != route.NoTarget {
+		c.router.Finish(now, i, a.Start, latency, outcome)
 	}
-	g.Dispatch(now)
+	c.Dispatch(now)
 }
 
 // Cancel takes a waiter out of the queue; it does nothing once the waiter is bound or refused.
-func (g *Controller) Cancel(w *Request) {
-	if w.queue != nil {
-		g.queue.remove(w)
+func (c *Controller) Cancel(r *Request) {
+	if r.classQueue != nil {
+		c.queue.remove(r)
 	}
 }
 
 // Dispatch binds waiters while targets are free and refuses those whose deadline cannot be met.
-func (g *Controller) Dispatch(now time.Duration) {
-	g.dropExpired(now)
-	for g.queue.size > 0 {
-		f := g.queue.next()
-		w := f.head
-		if !g.bind(now, w) {
+func (c *Controller) Dispatch(now time.Duration) {
+	c.refuseExpired(now)
+	for c.queue.size > 0 {
+		f := c.queue.next()
+		r := f.head
+		if !c.assign(now, r) {
 			return
 		}
-		g.queue.remove(w)
-		g.queue.served(f)
+		c.queue.remove(r)
+		c.queue.advance(f)
 	}
-	g.overload = false
+	c.overloaded = false
 }
 
-func (g *Controller) dropExpired(now time.Duration) {
-	need := g.router.MeanLatency()
-	for _, f := range g.queue.classes {
-		for w := f.expired(now, need); w != nil; w = f.expired(now, need) {
-			g.queue.remove(w)
-			g.overload = true
-			g.refuse(w, ReasonDeadlineCannotBeMet, g.predictWait(now, g.queue.size))
+func (c *Controller) refuseExpired(now time.Duration) {
+	meanLatency := c.router.MeanLatency()
+	for _, f := range c.queue.classes {
+		for r := f.firstExpired(now, meanLatency); r != nil; r = f.firstExpired(now, meanLatency) {
+			c.queue.remove(r)
+			c.overloaded = true
+			c.refuse(r, ReasonDeadlineCannotBeMet, c.predictWait(now, c.queue.size))
 		}
 	}
 }
 
 // Tick runs the router's timers and dispatches; call it several times a second.
-func (g *Controller) Tick(now time.Duration) {
-	g.router.Tick(now)
-	g.Dispatch(now)
+func (c *Controller) Tick(now time.Duration) {
+	c.router.Tick(now)
+	c.Dispatch(now)
 }
--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -23,12 +23,12 @@
 
 // CounterTable holds a Count per class and failure domain in one flat table.
 type CounterTable struct {
-	table [MaxClasses * MaxDomains]Counters
+	counters [MaxClasses * MaxDomains]Counters
 }
 
 // At returns the count of a class and failure domain; numbers beyond the table share its last row.
 func (c *CounterTable) At(class Class, domain Domain) *Counters {
 	class = min(max(class, 0), MaxClasses-1)
 	domain = min(max(domain, 0), MaxDomains-1)
-	return &c.table[int(class)*MaxDomains+int(domain)]
+	return &c.counters[int(class)*MaxDomains+int(domain)]
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,92 +2,92 @@
 
 import "time"
 
-// fifo is a queue of waiters of one class, linked through the waiters so that it allocates nothing.
-type fifo struct {
+// classQueue is a queue of waiters of one class, linked through the waiters so that it allocates nothing.
+type classQueue struct {
 	head, tail *Request
 	size       int
-	// pass is the class's virtual time in stride scheduling; the least goes next.
-	pass   float64
-	weight float64
+	// virtualTime is the class's virtual time in stride scheduling; the least goes next.
+	virtualTime float64
+	weight      float64
 }
 
-func (f *fifo) push(w *Request) {
-	w.previous, w.next = f.tail, nil
+func (f *classQueue) push(r *Request) {
+	r.previous, r.next = f.tail, nil
 	if f.tail == nil {
-		f.head = w
+		f.head = r
 	} else {
-		f.tail.next = w
+		f.tail.next = r
 	}
-	f.tail = w
+	f.tail = r
 	f.size++
-	w.queue, w.queued = f, true
+	r.classQueue, r.wasQueued = f, true
 }
 
-func (f *fifo) remove(w *Request) {
-	if w.previous == nil {
-		f.head = w.next
+func (f *classQueue) remove(r *Request) {
+	if r.previous == nil {
+		f.head = r.next
 	} else {
-		w.previous.next = w.next
+		r.previous.next = r.next
 	}
-	if w.next == nil {
-		f.tail = w.previous
+	if r.next == nil {
+		f.tail = r.previous
 	} else {
-		w.next.previous = w.previous
+		r.next.previous = r.previous
 	}
-	w.previous, w.next, w.queue = nil, nil, nil
+	r.previous, r.next, r.classQueue = nil, nil, nil
 	f.size--
 }
 
 // queue holds the waiters of one service, shared among classes by weight. It is not safe for concurrent use.
 type queue struct {
-	classes []*fifo
+	classes []*classQueue
 	size    int
-	// clock is the pass of the class served last; a class that wakes up starts there.
-	clock float64
+	// virtualTime is the pass of the class served last; a class that wakes up starts there.
+	virtualTime float64
 }
 
-func (q *queue) class(i Class) *fifo {
+func (q *queue) classQueue(i Class) *classQueue {
 	for len(q.classes) <= int(i) {
-		q.classes = append(q.classes, &fifo{weight: 1})
+		q.classes = append(q.classes, &classQueue{weight: 1})
 	}
 	return q.classes[i]
 }
 
-func (q *queue) push(w *Request) {
-	f := q.class(w.Class)
-	f.weight = max(1, float64(w.Weight))
+func (q *queue) push(r *Request) {
+	f := q.classQueue(r.Class)
+	f.weight = max(1, float64(r.Weight))
 	if f.size == 0 {
-		f.pass = max(f.pass, q.clock)
+		f.virtualTime = max(f.virtualTime, q.virtualTime)
 	}
-	f.push(w)
+	f.push(r)
 	q.size++
 }
 
-func (q *queue) remove(w *Request) {
-	w.queue.remove(w)
+func (q *queue) remove(r *Request) {
+	r.classQueue.remove(r)
 	q.size--
 }
 
 // next returns the class to serve next, or nil when nothing waits.
-func (q *queue) next() *fifo {
-	var best *fifo
+func (q *queue) next() *classQueue {
+	var best *classQueue
 	for _, f := range q.classes {
-		if f.size > 0 && (best == nil || f.pass < best.pass) {
+		if f.size > 0 && (best == nil || f.virtualTime < best.virtualTime) {
 			best = f
 		}
 	}
 	return best
 }
 
-// served moves a class on after one of its waiters was served.
-func (q *queue) served(f *fifo) {
-	q.clock = f.pass
-	f.pass += 1 / f.weight
+// advance moves a class on after one of its waiters was served.
+func (q *queue) advance(f *classQueue) {
+	q.virtualTime = f.virtualTime
+	f.virtualTime += 1 / f.weight
 }
 
-// mostOverShare returns the class that holds the most waiters for its weight.
-func (q *queue) mostOverShare() *fifo {
-	var worst *fifo
+// furthestOverShare returns the class that holds the most waiters for its weight.
+func (q *queue) furthestOverShare() *classQueue {
+	var worst *classQueue
 	for _, f := range q.classes {
 		if f.size > 0 && (worst == nil || float64(f.size)/f.weight > float64(worst.size)/worst.weight) {
 			worst = f
@@ -96,13 +96,13 @@
 	return worst
 }
 
-// ahead returns how many waiters would be served before a new one of the class.
-func (q *queue) ahead(class Class, weight int) int {
-	own := q.class(class)
-	share := float64(own.size+1) / max(1, float64(weight))
+// aheadOf returns how many waiters would be served before a new one of the class.
+func (q *queue) aheadOf(class Class, weight int) int {
+	ownQueue := q.classQueue(class)
+	share := float64(ownQueue.size+1) / max(1, float64(weight))
 	sum := 0.0
 	for _, f := range q.classes {
-		if f == own {
+		if f == ownQueue {
 			sum += float64(f.size)
 			continue
 		}
@@ -111,9 +111,9 @@
 	return int(sum)
 }
 
-// expired returns a waiter whose deadline cannot be met any more, or nil.
-func (f *fifo) expired(now, need time.Duration) *Request {
-	if f.head != nil && f.head.Deadline < now+need {
+// firstExpired returns a waiter whose deadline cannot be met any more, or nil.
+func (f *classQueue) firstExpired(now, minRemaining time.Duration) *Request {
+	if f.head != nil && f.head.Deadline < now+minRemaining {
 		return f.head
 	}
 	return nil
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -7,63 +7,63 @@
 
 // Times and counts of ejection and slow start.
 const (
-	rampTime         = 2 * time.Second
+	rampDuration     = 2 * time.Second
 	failuresToEject  = 3
-	ejectTime        = time.Second
-	longestEject     = 30 * time.Second
+	ejectDuration    = time.Second
+	maxEjectDuration = 30 * time.Second
 	stragglerRatio   = 3.0
-	stragglerPatient = time.Second
+	stragglerDelay   = time.Second
 )
 
 // SetTargets replaces the specs. Known targets keep what was learned; new ones ramp up unless the router was empty.
 // Targets that are gone start to drain and are forgotten when nothing is in flight.
 func (r *Router) SetTargets(now time.Duration, specs []Spec) {
-	first := len(r.targets) == 0
-	named := map[string]bool{}
+	initial := len(r.targets) == 0
+	configured := map[string]bool{}
 	for _, spec := range specs {
-		named[spec.Name] = true
+		configured[spec.Name] = true
 		if i, known := r.byName[spec.Name]; known {
-			r.respec(now, r.targets[i], spec)
+			r.updateSpec(now, r.targets[i], spec)
 			continue
 		}
-		r.add(now, spec, first)
+		r.add(now, spec, initial)
 	}
 	for _, t := range r.targets {
-		if !named[t.spec.Name] && t.cause != CauseWithdrawn {
-			r.move(now, t, Draining, CauseWithdrawn)
+		if !configured[t.spec.Name] && t.stateCause != CauseWithdrawn {
+			r.setState(now, t, Draining, CauseWithdrawn)
 		}
 	}
-	r.forget()
+	r.removeWithdrawn()
 }
 
-func (r *Router) respec(now time.Duration, t *target, spec Spec) {
+func (r *Router) updateSpec(now time.Duration, t *target, spec Spec) {
 	if spec.RoundTrip == 0 {
 		spec.RoundTrip = t.spec.RoundTrip
 	}
 	t.spec = spec
-	if t.cause == CauseWithdrawn {
-		r.move(now, t, Ramping, CauseAdded)
+	if t.stateCause == CauseWithdrawn {
+		r.setState(now, t, Ramping, CauseAdded)
 	}
 }
 
-func (r *Router) add(now time.Duration, spec Spec, first bool) {
-	t := &target{spec: spec, state: Absent, since: now, slowSince: -1, starts: make([]time.Duration, 0, 2*spec.Slots+2)}
+func (r *Router) add(now time.Duration, spec Spec, initial bool) {
+	t := &target{spec: spec, state: Absent, stateSince: now, slowSince: -1, starts: make([]time.Duration, 0, 2*spec.Slots+2)}
 	r.byName[spec.Name] = Index(len(r.targets))
 	r.targets = append(r.targets, t)
 	state := Ramping
-	if first {
+	if initial {
 		state = Live
 	}
-	r.move(now, t, state, CauseAdded)
+	r.setState(now, t, state, CauseAdded)
 }
 
-// forget drops withdrawn targets that hold no requests; indexes of the others may change.
-func (r *Router) forget() {
-	gone := func(t *target) bool { return t.cause == CauseWithdrawn && len(t.starts) == 0 }
-	if !slices.ContainsFunc(r.targets, gone) {
+// removeWithdrawn drops withdrawn targets that hold no requests; indexes of the others may change.
+func (r *Router) removeWithdrawn() {
+	removable := func(t *target) bool { return t.stateCause == CauseWithdrawn && len(t.starts) == 0 }
+	if !slices.ContainsFunc(r.targets, removable) {
 		return
 	}
-	r.targets = slices.DeleteFunc(r.targets, gone)
+	r.targets = slices.DeleteFunc(r.targets, removable)
 	clear(r.byName)
 	for i, t := range r.targets {
 		r.byName[t.spec.Name] = Index(i)
@@ -73,30 +73,30 @@
 // Drain stops new requests to a target that is leaving.
 func (r *Router) Drain(now time.Duration, i Index, cause Cause) {
 	if t := r.targets[i]; t.state != Draining {
-		r.move(now, t, Draining, cause)
+		r.setState(now, t, Draining, cause)
 	}
 }
 
 // Undrain lets a target that was drained by the host list or by reports ramp up again.
 func (r *Router) Undrain(now time.Duration, i Index, cause Cause) {
-	if t := r.targets[i]; t.state == Draining && t.cause != CauseWithdrawn {
-		r.move(now, t, Ramping, cause)
+	if t := r.targets[i]; t.state == Draining && t.stateCause != CauseWithdrawn {
+		r.setState(now, t, Ramping, cause)
 	}
 }
 
 // eject takes a target out for a time that grows with each ejection in a row; the floor of targets stays in.
 func (r *Router) eject(now time.Duration, t *target, cause Cause) {
-	if t.state == Ejected || t.state == Draining || !r.maySpare() {
+	if t.state == Ejected || t.state == Draining || !r.mayEject() {
 		return
 	}
-	length := min(longestEject, ejectTime<<min(t.ejections, 5))
+	duration := min(maxEjectDuration, ejectDuration<<min(t.ejections, 5))
 	t.ejections++
-	t.until = now + length
-	r.move(now, t, Ejected, cause)
+	t.ejectedUntil = now + duration
+	r.setState(now, t, Ejected, cause)
 }
 
-// maySpare reports whether one more target can be ejected: at least half of those not draining stay in.
-func (r *Router) maySpare() bool {
+// mayEject reports whether one more target can be ejected: at least half of those not draining stay in.
+func (r *Router) mayEject() bool {
 	eligible, total := 0, 0
 	for _, t := range r.targets {
 		switch t.state {
@@ -115,23 +115,23 @@
 func (r *Router) Tick(now time.Duration) {
 	for _, t := range r.targets {
 		switch {
-		case t.state == Ejected && now >= t.until:
-			t.failures, t.slow, t.fast, t.slowSince = 0, 0, 0, -1
-			r.move(now, t, Ramping, CauseEjectionEnded)
-		case t.state == Ramping && now-t.since >= rampTime:
-			r.move(now, t, Live, CauseRampEnded)
+		case t.state == Ejected && now >= t.ejectedUntil:
+			t.consecutiveFailures, t.slowMean, t.fastMean, t.slowSince = 0, 0, 0, -1
+			r.setState(now, t, Ramping, CauseEjectionEnded)
+		case t.state == Ramping && now-t.stateSince >= rampDuration:
+			r.setState(now, t, Live, CauseRampEnded)
 		case t.state == Live:
 			r.checkStraggler(now, t)
 		}
 	}
-	r.forget()
+	r.removeWithdrawn()
 }
 
 func (r *Router) checkStraggler(now time.Duration, t *target) {
 	// Travel is no fault of the target: one in another region is far, not slow.
-	if r.usual == 0 || t.slow-t.spec.RoundTrip.Seconds() < stragglerRatio*r.usual || now-t.updated > slowHorizon {
+	if r.meanLatency == 0 || t.slowMean-t.spec.RoundTrip.Seconds() < stragglerRatio*r.meanLatency || now-t.latencyAt > slowTimeConstant {
 		t.slowSince = -1
-		if now-t.since > longestEject {
+		if now-t.stateSince > maxEjectDuration {
 			t.ejections = 0
 		}
 		return
@@ -139,17 +139,17 @@
 	if t.slowSince < 0 {
 		t.slowSince = now
 	}
-	if now-t.slowSince >= stragglerPatient {
+	if now-t.slowSince >= stragglerDelay {
 		r.eject(now, t, CauseStraggler)
 	}
 }
 
-func (r *Router) move(now time.Duration, t *target, to State, cause Cause) {
+func (r *Router) setState(now time.Duration, t *target, to State, cause Cause) {
 	r.changes = append(r.changes, StateChange{
-		Target: t.spec.Name, From: t.state, To: to, Cause: cause, Failures: t.failures,
-		Latency: seconds(t.slow), MeanLatency: seconds(r.usual),
+		Target: t.spec.Name, From: t.state, To: to, Cause: cause, Failures: t.consecutiveFailures,
+		Latency: seconds(t.slowMean), MeanLatency: seconds(r.meanLatency),
 	})
-	t.state, t.cause, t.since = to, cause, now
+	t.state, t.stateCause, t.stateSince = to, cause, now
 }
 
 // PopChanges returns the changes of state since the last call.
@@ -165,16 +165,16 @@
 	t := r.targets[i]
 	switch {
 	case draining:
-		t.witnessed = true
-	case t.witnessed && t.state == Draining && (t.cause == CauseReportedDraining || t.cause == CauseRefusedAndClosed):
-		t.witnessed = false
-		r.move(now, t, Ramping, CauseReportedDraining)
+		t.drainConfirmed = true
+	case t.drainConfirmed && t.state == Draining && (t.stateCause == CauseReportedDraining || t.stateCause == CauseRefusedAndClosed):
+		t.drainConfirmed = false
+		r.setState(now, t, Ramping, CauseReportedDraining)
 	}
 }
 
 // Stable reports whether no target waits for a timer or to be forgotten.
 func (r *Router) Stable() bool {
 	return !slices.ContainsFunc(r.targets, func(t *target) bool {
-		return t.state == Ramping || t.state == Ejected || t.cause == CauseWithdrawn
+		return t.state == Ramping || t.state == Ejected || t.stateCause == CauseWithdrawn
 	})
 }
--- a/internal/route/retry_budget.go
+++ b/internal/route/retry_budget.go
@@ -8,8 +8,8 @@
 	Spent, Denied int64
 }
 
-// budgetBurst is the most extra tries that can be saved up.
-const budgetBurst = 10.0
+// maxBudgetTokens is the most extra tries that can be saved up.
+const maxBudgetTokens = 10.0
 
 // RetryBudgetConfig sets the ratio of extra tries per first try.
 type RetryBudgetConfig struct {
@@ -18,14 +18,14 @@
 
 // NewRetryBudget returns a full budget, so that a target that is dead from the start costs no request.
 func NewRetryBudget(c RetryBudgetConfig) *RetryBudget {
-	return &RetryBudget{ratio: c.Ratio, tokens: budgetBurst}
+	return &RetryBudget{ratio: c.Ratio, tokens: maxBudgetTokens}
 }
 
 // SetRatio changes the ratio.
 func (b *RetryBudget) SetRatio(ratio float64) { b.ratio = ratio }
 
 // RecordRequest notes a first try.
-func (b *RetryBudget) RecordRequest() { b.tokens = min(budgetBurst, b.tokens+b.ratio) }
+func (b *RetryBudget) RecordRequest() { b.tokens = min(maxBudgetTokens, b.tokens+b.ratio) }
 
 // TrySpend reports whether one more try is allowed, and spends it.
 func (b *RetryBudget) TrySpend() bool {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -25,9 +25,9 @@
 	config  Config
 	targets []*target
 	byName  map[string]Index
-	// usual is the service's moving mean latency in seconds, with outliers clipped.
-	usual   float64
-	changes []StateChange
+	// meanLatency is the service's moving mean latency in seconds, with outliers clipped.
+	meanLatency float64
+	changes     []StateChange
 }
 
 // New returns a Router without targets.
@@ -50,11 +50,11 @@
 func (r *Router) Size() int { return len(r.targets) }
 
 // MeanLatency returns the service's usual latency.
-func (r *Router) MeanLatency() time.Duration { return seconds(r.usual) }
+func (r *Router) MeanLatency() time.Duration { return seconds(r.meanLatency) }
 
 // ExpectedLatency returns the latency to expect of a target now.
 func (r *Router) ExpectedLatency(now time.Duration, i Index) time.Duration {
-	return seconds(r.targets[i].estimate(now, r.usual))
+	return seconds(r.targets[i].estimateLatency(now, r.meanLatency))
 }
 
 // InFlight returns the number of own requests on a target.
@@ -64,7 +64,7 @@
 func (r *Router) Capacity(now time.Duration) int {
 	sum := 0
 	for _, t := range r.targets {
-		sum += t.limit(now, r.usual, r.config.Overcommit)
+		sum += t.inFlightLimit(now, r.meanLatency, r.config.Overcommit)
 	}
 	return max(1, sum)
 }
@@ -77,36 +77,36 @@
 
 // Finish notes the end of a request that started at the given time.
 // Took is the time to the answer; it may be less than the time since the start when the caller read slowly.
-func (r *Router) Finish(now time.Duration, i Index, start, took time.Duration, outcome Outcome) {
+func (r *Router) Finish(now time.Duration, i Index, start, elapsed time.Duration, outcome Outcome) {
 	t := r.targets[i]
-	t.finish(start)
-	t.lastFinish = now
-	latency := took.Seconds()
+	t.removeStart(start)
+	t.lastFinishAt = now
+	latency := elapsed.Seconds()
 	switch outcome {
 	case Succeeded:
-		t.failures = 0
-		r.learn(now, t, latency)
+		t.consecutiveFailures = 0
+		r.recordLatency(now, t, latency)
 	case Failed:
-		t.failures++
-		if t.failures >= failuresToEject {
+		t.consecutiveFailures++
+		if t.consecutiveFailures >= failuresToEject {
 			r.eject(now, t, CauseFailures)
 		}
 	case Abandoned:
-		if latency > t.estimate(now, r.usual) {
-			t.observe(now, latency)
+		if latency > t.estimateLatency(now, r.meanLatency) {
+			t.recordLatency(now, latency)
 		}
 	case Refused:
 	}
 }
 
-// learn takes the latency of a success into the target's and the service's means.
-func (r *Router) learn(now time.Duration, t *target, latency float64) {
-	t.observe(now, latency)
-	if r.usual == 0 {
-		r.usual = latency
+// recordLatency takes the latency of a success into the target's and the service's means.
+func (r *Router) recordLatency(now time.Duration, t *target, latency float64) {
+	t.recordLatency(now, latency)
+	if r.meanLatency == 0 {
+		r.meanLatency = latency
 		return
 	}
-	r.usual += (min(latency, clipRatio*r.usual) - r.usual) * usualGain
+	r.meanLatency += (min(latency, outlierClipRatio*r.meanLatency) - r.meanLatency) * meanLatencyGain
 }
 
 // ApplyReport takes in a target's own word and reports whether it was believed.
@@ -116,26 +116,28 @@
 		r.Drain(now, i, CauseReportedDraining)
 		return true
 	}
-	own := len(t.starts)
-	if report.Age < 5*time.Millisecond && report.InFlight+1 < own {
-		t.doubtUntil = now + doubtTime
+	inFlight := len(t.starts)
+	if report.Age < 5*time.Millisecond && report.InFlight+1 < inFlight {
+		t.distrustReportsUntil = now + reportDistrustTime
 	}
-	if now < t.doubtUntil {
+	if now < t.distrustReportsUntil {
 		return false
 	}
-	t.foreign = min(float64(max(0, report.InFlight-own)), 2*float64(t.spec.Slots))
-	t.foreignAt = now - report.Age
+	t.reportedLoad = min(float64(max(0, report.InFlight-inFlight)), 2*float64(t.spec.Slots))
+	t.reportedAt = now - report.Age
 	return true
 }
 
 // SetPeerInFlight sets the sum of other entry hosts' requests in flight on a target.
 func (r *Router) SetPeerInFlight(now time.Duration, i Index, inFlight int) {
 	t := r.targets[i]
-	t.peers, t.peersAt = float64(inFlight), now
+	t.peerInFlight, t.peerInFlightAt = float64(inFlight), now
 }
 
 // SetRoundTrip sets the network's share of a request's time on a target.
-func (r *Router) SetRoundTrip(i Index, trip time.Duration) { r.targets[i].spec.RoundTrip = trip }
+func (r *Router) SetRoundTrip(i Index, roundTrip time.Duration) {
+	r.targets[i].spec.RoundTrip = roundTrip
+}
 
 // Eligible appends the names of the targets that may get new requests.
 func (r *Router) Eligible(names []string) []string {
@@ -155,11 +157,11 @@
 // LastObserved returns when something was last learned of a target, or asked.
 func (r *Router) LastObserved(i Index) time.Duration {
 	t := r.targets[i]
-	return max(t.updated, t.asked)
+	return max(t.latencyAt, t.probedAt)
 }
 
 // MarkProbed notes that a target is being probed.
-func (r *Router) MarkProbed(now time.Duration, i Index) { r.targets[i].asked = now }
+func (r *Router) MarkProbed(now time.Duration, i Index) { r.targets[i].probedAt = now }
 
 // Busy reports whether any request is in flight.
 func (r *Router) Busy() bool {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -59,9 +59,9 @@
 	}
 	is.Equal(lengths, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second})
 	is.Equal(r.State(0), Ramping)
-	is.Equal(r.targets[0].limit(now, 0, 0), 1)
-	is.Equal(r.targets[0].limit(now+rampTime*3/4, 0, 0), 3)
-	r.Tick(now + rampTime)
+	is.Equal(r.targets[0].inFlightLimit(now, 0, 0), 1)
+	is.Equal(r.targets[0].inFlightLimit(now+rampDuration*3/4, 0, 0), 3)
+	r.Tick(now + rampDuration)
 	is.Equal(r.State(0), Live)
 }
 
@@ -131,7 +131,7 @@
 		b.RecordRequest()
 		b.TrySpend()
 	}
-	is.True(b.Spent <= 100+budgetBurst)
+	is.True(b.Spent <= 100+maxBudgetTokens)
 	is.True(b.Spent >= 95)
 	is.Equal(b.Spent+b.Denied, int64(1000))
 }
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -18,217 +18,217 @@
 	"github.com/joomcode/errorx"
 )
 
-// bufferBytes is the largest answer that is read whole before its caller sees a byte, so that it can be tried again unseen.
-const bufferBytes = 64 << 10
+// maxBufferedBytes is the largest answer that is read whole before its caller sees a byte, so that it can be tried again unseen.
+const maxBufferedBytes = 64 << 10
 
 // failureKind says how an attempt failed, as far as a retry goes.
 type failureKind int
 
 const (
-	// failedAtGate means that admission refused.
-	failedAtGate failureKind = iota
-	// failedGivenUp means that the context ended before the request was handed over.
-	failedGivenUp
+	// failedAdmission means that admission refused.
+	failedAdmission failureKind = iota
+	// failedCancelledBeforeSend means that the context ended before the request was handed over.
+	failedCancelledBeforeSend
 	// failedNotSent means that no byte reached the target.
 	failedNotSent
 	// failedRefused means that the target said that it did not run the request.
 	failedRefused
-	// failedBroken means that the request was handed over and no whole answer came.
-	failedBroken
-	// failedCancelled means that the context ended after the request was handed over.
-	failedCancelled
-	// failedServer means that the target answered with a gateway or availability error.
-	failedServer
+	// failedConnectionBroke means that the request was handed over and no whole answer came.
+	failedConnectionBroke
+	// failedCancelledAfterSend means that the context ended after the request was handed over.
+	failedCancelledAfterSend
+	// failedUnavailable means that the target answered with a gateway or availability error.
+	failedUnavailable
 )
 
 // failure is an attempt without a usable answer.
 type failure struct {
 	kind    failureKind
 	target  string
-	refused *admission.Refusal
-	// answer is the target's own answer, when there was one.
-	answer *Response
+	refusal *admission.Refusal
+	// response is the target's own answer, when there was one.
+	response *Response
 }
 
 // attempt hands the request to one target, once.
-func (s *Service) attempt(ctx context.Context, r *Request, avoid string, try backend.Try) (*Response, *failure) {
-	switch v := s.enter(ctx, r, avoid).(type) {
+func (s *Service) attempt(ctx context.Context, r *Request, excluded string, try backend.Try) (*Response, *failure) {
+	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
 		return s.exchange(ctx, r, v, try)
 	case *admission.Refusal:
-		return nil, &failure{kind: failedAtGate, refused: v}
+		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
-	return nil, &failure{kind: failedGivenUp}
+	return nil, &failure{kind: failedCancelledBeforeSend}
 }
 
 // exchange sends the request to the target that it is bound to and reads the answer.
-func (s *Service) exchange(ctx context.Context, r *Request, b *admission.Assignment, try backend.Try) (*Response, *failure) {
-	pool := s.pool(b.Target)
+func (s *Service) exchange(ctx context.Context, r *Request, a *admission.Assignment, try backend.Try) (*Response, *failure) {
+	pool := s.pool(a.Target)
 	if pool == nil {
-		s.leave(b, 0, route.Abandoned)
-		return nil, &failure{kind: failedNotSent, target: b.Target}
+		s.finish(a, 0, route.Abandoned)
+		return nil, &failure{kind: failedNotSent, target: a.Target}
 	}
-	started := s.steering.config.Clock()
-	response, err := pool.Do(outgoing(ctx, r, pool.target.Address), try)
-	took := s.steering.config.Clock() - started
+	started := s.dispatcher.config.Clock()
+	httpResponse, err := pool.Do(newTargetRequest(ctx, r, pool.target.Address), try)
+	latency := s.dispatcher.config.Clock() - started
 	if err != nil {
-		return nil, s.failed(ctx, r, b, err, started)
+		return nil, s.connectionFailure(ctx, r, a, err, started)
 	}
-	s.readReport(b.Target, response)
-	answer := &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Target: b.Target}
-	if slices.Contains(r.Rule.NotRunStatuses, response.StatusCode) {
-		return nil, s.refused(b, response, answer, took)
+	s.readLoadReport(a.Target, httpResponse)
+	response := &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, Length: httpResponse.ContentLength, Target: a.Target}
+	if slices.Contains(r.Rule.NotRunStatuses, httpResponse.StatusCode) {
+		return nil, s.targetRefusal(a, httpResponse, response, latency)
 	}
-	if r.Idempotent && isUnavailable(response.StatusCode) {
-		s.leave(b, took, route.Failed)
-		s.readRefusal(answer, response)
-		return nil, &failure{kind: failedServer, target: b.Target, answer: answer}
+	if r.Idempotent && isUnavailable(httpResponse.StatusCode) {
+		s.finish(a, latency, route.Failed)
+		s.bufferRefusal(response, httpResponse)
+		return nil, &failure{kind: failedUnavailable, target: a.Target, response: response}
 	}
-	return s.readAnswer(ctx, r, b, response, answer, started)
+	return s.readResponse(ctx, r, a, httpResponse, response, started)
 }
 
-// outgoing builds the request that the target gets.
-func outgoing(ctx context.Context, r *Request, address string) *http.Request {
-	out := (&http.Request{
+// newTargetRequest builds the request that the target gets.
+func newTargetRequest(ctx context.Context, r *Request, address string) *http.Request {
+	request := (&http.Request{
 		Method: r.Method, Host: r.Host, Header: r.Header.Clone(), ContentLength: r.Length,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}).WithContext(ctx)
-	out.URL = parseURI(r.URI)
-	out.URL.Scheme, out.URL.Host = "http", address
+	request.URL = parseURI(r.URI)
+	request.URL.Scheme, request.URL.Host = "http", address
 	switch {
 	case r.Stream != nil:
-		out.Body = io.NopCloser(r.Stream)
+		request.Body = io.NopCloser(r.Stream)
 	case len(r.Body) > 0:
-		out.Body = io.NopCloser(bytes.NewReader(r.Body))
-		out.ContentLength = int64(len(r.Body))
+		request.Body = io.NopCloser(bytes.NewReader(r.Body))
+		request.ContentLength = int64(len(r.Body))
 	default:
-		out.ContentLength = 0
+		request.ContentLength = 0
 	}
-	out.Header.Set(HeaderDeadline, strconv.FormatInt(max(1, time.Until(r.Deadline).Milliseconds()), 10))
-	out.Header.Set(HeaderRetryAllowance, strconv.Itoa(r.RetryAllowance))
-	return out
+	request.Header.Set(HeaderDeadline, strconv.FormatInt(max(1, time.Until(r.Deadline).Milliseconds()), 10))
+	request.Header.Set(HeaderRetryAllowance, strconv.Itoa(r.RetryAllowance))
+	return request
 }
 
 func isUnavailable(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// failed ends an attempt whose connection could not be opened or broke.
-func (s *Service) failed(ctx context.Context, r *Request, b *admission.Assignment, err error, started time.Duration) *failure {
-	now := s.steering.config.Clock()
+// connectionFailure ends an attempt whose connection could not be opened or broke.
+func (s *Service) connectionFailure(ctx context.Context, r *Request, a *admission.Assignment, err error, started time.Duration) *failure {
+	now := s.dispatcher.config.Clock()
 	switch {
 	case errorx.IsOfType(err, backend.ErrNotSent) && ctx.Err() != nil:
-		s.leave(b, now-started, route.Abandoned)
-		return &failure{kind: failedGivenUp, target: b.Target}
+		s.finish(a, now-started, route.Abandoned)
+		return &failure{kind: failedCancelledBeforeSend, target: a.Target}
 	case errorx.IsOfType(err, backend.ErrFull):
-		s.leave(b, now-started, route.Refused)
-		return &failure{kind: failedNotSent, target: b.Target}
+		s.finish(a, now-started, route.Refused)
+		return &failure{kind: failedNotSent, target: a.Target}
 	case errorx.IsOfType(err, backend.ErrNotSent):
-		s.leave(b, now-started, route.Failed)
-		return &failure{kind: failedNotSent, target: b.Target}
+		s.finish(a, now-started, route.Failed)
+		return &failure{kind: failedNotSent, target: a.Target}
 	case ctx.Err() != nil:
-		s.leave(b, now-started, route.Abandoned)
-		return &failure{kind: failedCancelled, target: b.Target}
+		s.finish(a, now-started, route.Abandoned)
+		return &failure{kind: failedCancelledAfterSend, target: a.Target}
 	}
-	s.leave(b, now-started, s.judgeBreak(now, started, r, b.Target))
-	return &failure{kind: failedBroken, target: b.Target}
+	s.finish(a, now-started, s.classifyBreak(now, started, r, a.Target))
+	return &failure{kind: failedConnectionBroke, target: a.Target}
 }
 
-// judgeBreak decides whether a broken connection is held against the target or against the request.
-func (s *Service) judgeBreak(now, started time.Duration, r *Request, target string) route.Outcome {
-	if r.Fingerprint == 0 || !s.steering.config.Quarantine.Broke(now, started, r.Fingerprint, target) {
+// classifyBreak decides whether a broken connection is held against the target or against the request.
+func (s *Service) classifyBreak(now, started time.Duration, r *Request, target string) route.Outcome {
+	if r.Fingerprint == 0 || !s.dispatcher.config.Quarantine.Broke(now, started, r.Fingerprint, target) {
 		return route.Failed
 	}
-	s.steering.config.Records.Add(record.Record{
-		Kind: record.Quarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.steering.note(),
+	s.dispatcher.config.Records.Add(record.Record{
+		Kind: record.Quarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.dispatcher.noteNumber(),
 		Evidence: record.Evidence{Detail: strconv.FormatUint(r.Fingerprint, 16)},
 	})
-	s.steering.config.OnQuarantine()
+	s.dispatcher.config.OnQuarantine()
 	return route.Abandoned
 }
 
-// refused ends an attempt that the target refused under the rule.
-func (s *Service) refused(b *admission.Assignment, response *http.Response, answer *Response, took time.Duration) *failure {
-	s.leave(b, took, route.Refused)
-	s.readRefusal(answer, response)
-	answer.Outcome = claim.NotRun
-	if response.Close {
-		s.Drain(b.Target, route.CauseRefusedAndClosed)
+// targetRefusal ends an attempt that the target refused under the rule.
+func (s *Service) targetRefusal(a *admission.Assignment, httpResponse *http.Response, response *Response, latency time.Duration) *failure {
+	s.finish(a, latency, route.Refused)
+	s.bufferRefusal(response, httpResponse)
+	response.Outcome = claim.NotRun
+	if httpResponse.Close {
+		s.Drain(a.Target, route.CauseRefusedAndClosed)
 	}
-	return &failure{kind: failedRefused, target: b.Target, answer: answer}
+	return &failure{kind: failedRefused, target: a.Target, response: response}
 }
 
-// readRefusal reads the start of a refusal's body, so that it can be passed on if no other target answers.
-func (s *Service) readRefusal(answer *Response, response *http.Response) {
-	text, _ := io.ReadAll(io.LimitReader(response.Body, bufferBytes))
+// bufferRefusal reads the start of a refusal's body, so that it can be passed on if no other target answers.
+func (s *Service) bufferRefusal(response *Response, httpResponse *http.Response) {
+	content, _ := io.ReadAll(io.LimitReader(httpResponse.Body, maxBufferedBytes))
 	// A refusal is passed on as far as it was read.
-	_ = response.Body.Close()
-	answer.keep(text)
+	_ = httpResponse.Body.Close()
+	response.setBody(content)
 }
 
-// readReport takes in the load that a target reports on its answers.
-func (s *Service) readReport(target string, response *http.Response) {
-	if response.Header.Get(HeaderDraining) == "true" {
-		s.report(target, route.LoadReport{Draining: true})
+// readLoadReport takes in the load that a target reports on its answers.
+func (s *Service) readLoadReport(target string, httpResponse *http.Response) {
+	if httpResponse.Header.Get(HeaderDraining) == "true" {
+		s.applyReport(target, route.LoadReport{Draining: true})
 		return
 	}
-	if text := response.Header.Get(HeaderLoad); text != "" {
-		if n, err := strconv.Atoi(text); err == nil && n >= 0 {
-			s.report(target, route.LoadReport{InFlight: n})
+	if value := httpResponse.Header.Get(HeaderLoad); value != "" {
+		if n, err := strconv.Atoi(value); err == nil && n >= 0 {
+			s.applyReport(target, route.LoadReport{InFlight: n})
 		}
 	}
 }
 
-// readAnswer reads a small answer whole and leaves a large one to stream.
-func (s *Service) readAnswer(ctx context.Context, r *Request, b *admission.Assignment, response *http.Response, answer *Response, started time.Duration) (*Response, *failure) {
-	end := func(outcome route.Outcome) { s.leave(b, s.steering.config.Clock()-started, outcome) }
-	if response.ContentLength > bufferBytes || response.Header.Get("Content-Type") == "text/event-stream" {
-		s.streamAnswer(ctx, r, answer, response, end)
-		return answer, nil
+// readResponse reads a small answer whole and leaves a large one to stream.
+func (s *Service) readResponse(ctx context.Context, r *Request, a *admission.Assignment, httpResponse *http.Response, response *Response, started time.Duration) (*Response, *failure) {
+	finishRequest := func(outcome route.Outcome) { s.finish(a, s.dispatcher.config.Clock()-started, outcome) }
+	if httpResponse.ContentLength > maxBufferedBytes || httpResponse.Header.Get("Content-Type") == "text/event-stream" {
+		s.streamResponse(ctx, r, response, httpResponse, finishRequest)
+		return response, nil
 	}
-	bodiless := r.Method == http.MethodHead || response.StatusCode == http.StatusNotModified
-	text, err := readStart(response, bodiless)
+	noBody := r.Method == http.MethodHead || httpResponse.StatusCode == http.StatusNotModified
+	content, err := readPrefix(httpResponse, noBody)
 	if err != nil {
-		_ = response.Body.Close()
-		return nil, s.failed(ctx, r, b, err, started)
+		_ = httpResponse.Body.Close()
+		return nil, s.connectionFailure(ctx, r, a, err, started)
 	}
-	if len(text) > bufferBytes {
-		s.streamAnswer(ctx, r, answer, response, end)
-		answer.Body = &prefixed{Reader: io.MultiReader(bytes.NewReader(text), answer.Body), Closer: answer.Body}
-		return answer, nil
+	if len(content) > maxBufferedBytes {
+		s.streamResponse(ctx, r, response, httpResponse, finishRequest)
+		response.Body = &prefixedBody{Reader: io.MultiReader(bytes.NewReader(content), response.Body), Closer: response.Body}
+		return response, nil
 	}
-	closeErr := response.Body.Close()
-	end(outcomeOf(closeErr))
+	closeErr := httpResponse.Body.Close()
+	finishRequest(outcomeOf(closeErr))
 	if r.Fingerprint != 0 {
-		s.steering.config.Quarantine.Succeeded(r.Fingerprint)
+		s.dispatcher.config.Quarantine.Succeeded(r.Fingerprint)
 	}
-	answer.keep(text)
-	if bodiless {
-		answer.Length = response.ContentLength
+	response.setBody(content)
+	if noBody {
+		response.Length = httpResponse.ContentLength
 	}
-	return answer, nil
+	return response, nil
 }
 
-// readStart reads a body up to one byte more than is read whole.
+// readPrefix reads a body up to one byte more than is read whole.
 // A bodiless answer may name the length of a body that it does not have.
-func readStart(response *http.Response, bodiless bool) ([]byte, error) {
-	if response.ContentLength < 0 || bodiless {
-		return io.ReadAll(io.LimitReader(response.Body, bufferBytes+1))
+func readPrefix(httpResponse *http.Response, noBody bool) ([]byte, error) {
+	if httpResponse.ContentLength < 0 || noBody {
+		return io.ReadAll(io.LimitReader(httpResponse.Body, maxBufferedBytes+1))
 	}
-	text := make([]byte, response.ContentLength)
-	if _, err := io.ReadFull(response.Body, text); err != nil {
+	content := make([]byte, httpResponse.ContentLength)
+	if _, err := io.ReadFull(httpResponse.Body, content); err != nil {
 		return nil, err
 	}
 	// The end must be read too, or the connection cannot be used again.
-	if n, err := response.Body.Read(make([]byte, 1)); n > 0 || err != io.EOF {
+	if n, err := httpResponse.Body.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		return nil, io.ErrUnexpectedEOF
 	}
-	return text, nil
+	return content, nil
 }
 
-// keep makes text the whole body of the answer.
-func (a *Response) keep(text []byte) {
-	a.Body, a.Content, a.Length, a.Buffered = io.NopCloser(bytes.NewReader(text)), text, int64(len(text)), true
+// setBody makes text the whole body of the answer.
+func (a *Response) setBody(content []byte) {
+	a.Body, a.Content, a.Length, a.Buffered = io.NopCloser(bytes.NewReader(content)), content, int64(len(content)), true
 }
 
 func outcomeOf(err error) route.Outcome {
@@ -238,7 +238,7 @@
 	return route.Succeeded
 }
 
-type prefixed struct {
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -32,12 +32,12 @@
 type Dispatcher struct {
 	config  Config
 	mu      sync.Mutex
-	current atomic.Pointer[view]
+	current atomic.Pointer[snapshot]
 	domains domains
 }
 
-// view is one configuration with its running services; it is replaced whole.
-type view struct {
+// snapshot is one configuration with its running services; it is replaced whole.
+type snapshot struct {
 	configuration note.Configuration
 	services      map[string]*Service
 }
@@ -45,48 +45,48 @@
 // New returns Steering without services, and the function that closes its connections.
 func New(c Config) (*Dispatcher, func()) {
 	s := &Dispatcher{config: c}
-	s.current.Store(&view{services: map[string]*Service{}})
+	s.current.Store(&snapshot{services: map[string]*Service{}})
 	return s, s.close
 }
 
-func (s *Dispatcher) close() {
-	for _, service := range s.current.Load().services {
+func (d *Dispatcher) close() {
+	for _, service := range d.current.Load().services {
 		service.close()
 	}
 }
 
 // Configuration returns the configuration in force.
-func (s *Dispatcher) Configuration() note.Configuration { return s.current.Load().configuration }
+func (d *Dispatcher) Configuration() note.Configuration { return d.current.Load().configuration }
 
 // Apply puts a configuration in force; one with a lower number is left out.
-func (s *Dispatcher) Apply(c note.Configuration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	old := s.current.Load()
+func (d *Dispatcher) Apply(c note.Configuration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	old := d.current.Load()
 	if c.Number <= old.configuration.Number {
 		return
 	}
-	next := &view{c, map[string]*Service{}}
+	next := &snapshot{c, map[string]*Service{}}
 	for _, spec := range c.Services {
 		service := old.services[spec.Name]
 		if service == nil {
-			service = newService(s, spec)
+			service = newService(d, spec)
 		}
-		service.adopt(spec, c)
+		service.apply(spec, c)
 		next.services[spec.Name] = service
 	}
-	s.current.Store(next)
+	d.current.Store(next)
 	for name, service := range old.services {
 		if next.services[name] == nil {
-			service.adopt(note.Service{Name: name, QueueLimit: 1}, c)
+			service.apply(note.Service{Name: name, QueueLimit: 1}, c)
 			service.close()
 		}
 	}
 }
 
 // Match returns the rule and the service for a request.
-func (s *Dispatcher) Match(host, path, method string) (note.Rule, *Service, bool) {
-	v := s.current.Load()
+func (d *Dispatcher) Match(host, path, method string) (note.Rule, *Service, bool) {
+	v := d.current.Load()
 	rule, found := v.configuration.Match(host, path, method)
 	if !found {
 		return rule, nil, false
@@ -96,18 +96,18 @@
 }
 
 // Services returns the running services.
-func (s *Dispatcher) Services() map[string]*Service { return s.current.Load().services }
+func (d *Dispatcher) Services() map[string]*Service { return d.current.Load().services }
 
 // Tick runs the timers of every service and reports whether any has requests.
-func (s *Dispatcher) Tick() bool {
+func (d *Dispatcher) Tick() bool {
 	busy := false
-	for _, service := range s.Services() {
+	for _, service := range d.Services() {
 		busy = service.tick() || busy
 	}
 	return busy
 }
 
-func (s *Dispatcher) note() int { return s.current.Load().configuration.Number }
+func (d *Dispatcher) noteNumber() int { return d.current.Load().configuration.Number }
 
 // domains numbers the callers' failure domains in the order in which they are first seen.
 type domains struct {
@@ -118,9 +118,9 @@
 // number returns the number of a failure domain; those beyond the table share the last.
 func (d *domains) number(name string) admission.Domain {
 	d.mu.RLock()
-	n, known := d.byName[name]
+	n, found := d.byName[name]
 	d.mu.RUnlock()
-	if known {
+	if found {
 		return n
 	}
 	d.mu.Lock()
@@ -131,7 +131,7 @@
 	if len(d.byName) >= admission.MaxDomains-1 {
 		return admission.MaxDomains - 1
 	}
-	if n, known = d.byName[name]; !known {
+	if n, found = d.byName[name]; !found {
 		n = admission.Domain(len(d.byName))
 		d.byName[name] = n
 	}
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -13,13 +13,13 @@
 // Times of hedging.
 const (
 	// hedgeRatio is how many times the expected latency a try may take before a second one starts.
-	hedgeRatio = 2.5
-	leastHedge = 5 * time.Millisecond
+	hedgeRatio    = 2.5
+	minHedgeDelay = 5 * time.Millisecond
 	// silentRatio and leastSilent say when a connection without an answer counts as silent.
-	silentRatio = 8
-	leastSilent = 100 * time.Millisecond
-	// unknownHedge is the delay while no latency is known.
-	unknownHedge = 100 * time.Millisecond
+	silentRatio   = 8
+	minSilentTime = 100 * time.Millisecond
+	// defaultHedgeDelay is the delay while no latency is known.
+	defaultHedgeDelay = 100 * time.Millisecond
 )
 
 // hedge is a second try that starts when the first is late; whichever answers first wins and the other is cancelled.
@@ -29,98 +29,98 @@
 	ctx     context.Context
 	// cancelFirst ends the first try.
 	cancelFirst context.CancelFunc
-	avoid       string
-	// won is 0 until a try has answered, then 1 for the first and 2 for the second.
-	won    atomic.Int32
-	done   chan struct{}
-	answer *Response
-	failed *failure
+	excluded    string
+	// winner is 0 until a try has answered, then 1 for the first and 2 for the second.
+	winner   atomic.Int32
+	done     chan struct{}
+	response *Response
+	failure  *failure
 }
 
-// hedged makes one attempt and a second one beside it when the answer is late.
-func (s *Service) hedged(ctx context.Context, r *Request, avoid string) (*Response, *failure) {
-	switch v := s.enter(ctx, r, avoid).(type) {
+// attemptHedged makes one attempt and a second one beside it when the answer is late.
+func (s *Service) attemptHedged(ctx context.Context, r *Request, excluded string) (*Response, *failure) {
+	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
 		return s.race(ctx, r, v)
 	case *admission.Refusal:
-		return nil, &failure{kind: failedAtGate, refused: v}
+		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
-	return nil, &failure{kind: failedGivenUp}
+	return nil, &failure{kind: failedCancelledBeforeSend}
 }
 
 // race sends a bound request and a second try beside it when the first is late.
-func (s *Service) race(ctx context.Context, r *Request, b *admission.Assignment) (*Response, *failure) {
+func (s *Service) race(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
 	first, cancelFirst := context.WithCancel(ctx)
 	second, cancelSecond := context.WithCancel(ctx)
-	h := &hedge{service: s, request: r, ctx: second, cancelFirst: cancelFirst, avoid: b.Target, done: make(chan struct{})}
+	h := &hedge{service: s, request: r, ctx: second, cancelFirst: cancelFirst, excluded: a.Target, done: make(chan struct{})}
 	start := time.Now()
-	timer := time.AfterFunc(s.hedgeDelay(), h.run)
-	answer, failed := s.exchange(first, r, b, backend.Try{})
+	timer := time.AfterFunc(s.hedgeDelay(), h.runSecond)
+	response, failed := s.exchange(first, r, a, backend.Try{})
 	if timer.Stop() {
 		cancelSecond()
-		return release(answer, cancelFirst), failed
+		return cancelOnClose(response, cancelFirst), failed
 	}
-	if failed == nil && h.won.CompareAndSwap(0, 1) {
+	if failed == nil && h.winner.CompareAndSwap(0, 1) {
 		cancelSecond()
 		<-h.done
-		return release(answer, cancelFirst), nil
+		return cancelOnClose(response, cancelFirst), nil
 	}
 	<-h.done
 	cancelFirst()
-	if answer != nil {
+	if response != nil {
 		// The second try answered first; its answer goes on.
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 	}
-	s.suspect(failed, time.Since(start))
-	if h.failed == nil {
-		return release(h.answer, cancelSecond), nil
+	s.closeIdleIfSilent(failed, time.Since(start))
+	if h.failure == nil {
+		return cancelOnClose(h.response, cancelSecond), nil
 	}
 	cancelSecond()
 	return nil, failed
 }
 
-// run is the second try.
-func (h *hedge) run() {
+// runSecond is the second try.
+func (h *hedge) runSecond() {
 	defer close(h.done)
-	if h.service.queued() > 0 || !h.service.takeRetry() {
-		h.failed = &failure{kind: failedGivenUp}
+	if h.service.queued() > 0 || !h.service.spendRetry() {
+		h.failure = &failure{kind: failedCancelledBeforeSend}
 		return
 	}
-	again := *h.request
-	again.RetryAllowance = 0
-	h.answer, h.failed = h.service.attempt(h.ctx, &again, h.avoid, backend.Try{Fresh: true})
-	if h.failed != nil {
+	second := *h.request
+	second.RetryAllowance = 0
+	h.response, h.failure = h.service.attempt(h.ctx, &second, h.excluded, backend.Try{Fresh: true})
+	if h.failure != nil {
 		return
 	}
-	if h.won.CompareAndSwap(0, 2) {
+	if h.winner.CompareAndSwap(0, 2) {
 		h.cancelFirst()
 		return
 	}
-	_ = h.answer.Body.Close()
-	h.failed = &failure{kind: failedCancelled}
+	_ = h.response.Body.Close()
+	h.failure = &failure{kind: failedCancelledAfterSend}
 }
 
 // queued returns the number of requests that wait at the gate.
 func (s *Service) queued() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gate.Queued()
+	return s.admission.Queued()
 }
 
 // hedgeDelay returns how long a try may take before a second one starts.
 func (s *Service) hedgeDelay() time.Duration {
 	s.mu.Lock()
-	usual := s.gate.Router().MeanLatency()
+	meanLatency := s.admission.Router().MeanLatency()
 	s.mu.Unlock()
-	if usual == 0 {
-		return unknownHedge
+	if meanLatency == 0 {
+		return defaultHedgeDelay
 	}
-	return max(leastHedge, time.Duration(hedgeRatio*float64(usual)))
+	return max(minHedgeDelay, time.Duration(hedgeRatio*float64(meanLatency)))
 }
 
-// suspect closes the idle connections to a target whose connection has been silent for too long.
-func (s *Service) suspect(failed *failure, took time.Duration) {
-	if failed == nil || failed.target == "" || took < max(leastSilent, silentRatio*s.expected(failed.target)) {
+// closeIdleIfSilent closes the idle connections to a target whose connection has been silent for too long.
+func (s *Service) closeIdleIfSilent(failed *failure, elapsed time.Duration) {
+	if failed == nil || failed.target == "" || elapsed < max(minSilentTime, silentRatio*s.expectedLatency(failed.target)) {
 		return
 	}
 	if pool := s.pool(failed.target); pool != nil {
@@ -128,24 +128,24 @@
 	}
 }
 
-// release ties a try's context to the end of its answer.
-func release(answer *Response, cancel context.CancelFunc) *Response {
-	if answer == nil || answer.Buffered {
+// cancelOnClose ties a try's context to the end of its answer.
+func cancelOnClose(response *Response, cancel context.CancelFunc) *Response {
+	if response == nil || response.Buffered {
 		cancel()
-		return answer
+		return response
 	}
-	answer.Body = &cancelling{answer.Body, cancel}
-	return answer
+	response.Body = &cancellingBody{response.Body, cancel}
+	return response
 }
 
-// cancelling is a body whose end also ends its context.
-type cancelling struct {
+// cancellingBody is a body whose end also ends its context.
+type cancellingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (c *cancelling) Close() error {
+func (c *cancellingBody) Close() error {
 	defer c.cancel()
 	return c.ReadCloser.Close()
 }
--- a/internal/steering/probe.go
+++ b/internal/steering/probe.go
@@ -9,7 +9,7 @@
 
 // Limits of probing: targets without news for probeIdle are probed, and each request earns a part of a probe.
 const (
-	probeIdle       = time.Second
+	probeIdleTime   = time.Second
 	probePerRequest = 0.05
 	maxProbeCredit  = 4.0
 )
@@ -24,9 +24,9 @@
 }
 
 // Probes returns the targets whose report would help now: those out of service and those that have been idle.
-func (s *Dispatcher) Probes() []Probe {
+func (d *Dispatcher) Probes() []Probe {
 	var list []Probe
-	for _, service := range s.Services() {
+	for _, service := range d.Services() {
 		list = append(list, service.probes()...)
 	}
 	return list
@@ -38,15 +38,15 @@
 	if s.spec.ReportPath == "" || s.probeCredit < 1 {
 		return nil
 	}
-	now := s.steering.config.Clock()
+	now := s.dispatcher.config.Clock()
 	var list []Probe
 	for name, pool := range s.pools {
-		i := s.gate.Router().Lookup(name)
-		if i == route.NoTarget || now-s.gate.Router().LastObserved(i) < probeIdle || s.probeCredit < 1 {
+		i := s.admission.Router().Lookup(name)
+		if i == route.NoTarget || now-s.admission.Router().LastObserved(i) < probeIdleTime || s.probeCredit < 1 {
 			continue
 		}
 		s.probeCredit--
-		s.gate.Router().MarkProbed(now, i)
+		s.admission.Router().MarkProbed(now, i)
 		list = append(list, Probe{pool.target.Address, s.spec.ReportPath, pool.target.Domain, s, name})
 	}
 	return list
@@ -54,27 +54,27 @@
 
 // Apply takes in the answer to a probe.
 func (p Probe) Apply(report route.LoadReport, status int) {
-	p.service.report(p.target, report)
+	p.service.applyReport(p.target, report)
 	if status == http.StatusOK {
-		p.service.witness(p.target, report.Draining)
+		p.service.applyProbe(p.target, report.Draining)
 	}
 }
 
-// witness takes in what a target's report address says of its leaving.
-func (s *Service) witness(target string, draining bool) {
+// applyProbe takes in what a target's report address says of its leaving.
+func (s *Service) applyProbe(target string, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
-		s.gate.Router().ApplyProbe(s.steering.config.Clock(), i, draining)
+	if i := s.admission.Router().Lookup(target); i != route.NoTarget {
+		s.admission.Router().ApplyProbe(s.dispatcher.config.Clock(), i, draining)
 	}
-	s.explain(s.steering.note())
+	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
 // ForEachInFlight calls each with own requests in flight on the targets that have any.
 func (s *Service) ForEachInFlight(each func(target string, inFlight int)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router := s.gate.Router()
+	router := s.admission.Router()
 	for i := range router.Size() {
 		if n := router.InFlight(route.Index(i)); n > 0 {
 			each(router.Name(route.Index(i)), n)
@@ -89,5 +89,5 @@
 func (s *Service) RequestCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.requests
+	return s.requestCount
 }
--- a/internal/steering/request.go
+++ b/internal/steering/request.go
@@ -52,7 +52,7 @@
 func (r *Request) replayable() bool { return r.Stream == nil }
 
 // Result is how a request ended: *Answer or *Refusal.
-type Result interface{ result() }
+type Result interface{ isResult() }
 
 // Response is a backend server's answer; Body must be closed.
 type Response struct {
@@ -79,5 +79,5 @@
 	RetryDone bool
 }
 
-func (*Response) result() {}
-func (*Refusal) result()  {}
+func (*Response) isResult() {}
+func (*Refusal) isResult()  {}
--- a/internal/steering/run.go
+++ b/internal/steering/run.go
@@ -10,35 +10,35 @@
 	"briarcroft/internal/claim"
 )
 
-// maxTries is the most targets that one request is handed to at this host.
-const maxTries = 3
+// maxAttempts is the most targets that one request is handed to at this host.
+const maxAttempts = 3
 
 // Run runs a request on a target of the service, with the retries and hedges that the request and the budget allow.
 func (s *Service) Run(ctx context.Context, r *Request) Result {
-	s.firstTry()
-	avoid := ""
-	for try := 1; ; try++ {
-		answer, failed := s.try(ctx, r, avoid)
+	s.recordRequest()
+	excluded := ""
+	for attempt := 1; ; attempt++ {
+		response, failed := s.attemptOnce(ctx, r, excluded)
 		if failed == nil {
-			return answer
+			return response
 		}
 		if !mayRetry(ctx, r, failed) {
-			return giveUp(ctx, r, failed, false)
+			return resultOf(ctx, r, failed, false)
 		}
-		if try >= maxTries || !s.takeRetry() {
-			return giveUp(ctx, r, failed, true)
+		if attempt >= maxAttempts || !s.spendRetry() {
+			return resultOf(ctx, r, failed, true)
 		}
 		r.RetryAllowance = max(0, r.RetryAllowance-1)
-		avoid = failed.target
+		excluded = failed.target
 	}
 }
 
-// try makes one attempt, hedged when the request may run twice.
-func (s *Service) try(ctx context.Context, r *Request, avoid string) (*Response, *failure) {
+// attemptOnce makes one attempt, hedged when the request may run twice.
+func (s *Service) attemptOnce(ctx context.Context, r *Request, excluded string) (*Response, *failure) {
 	if r.Idempotent && r.replayable() && r.RetryAllowance > 0 {
-		return s.hedged(ctx, r, avoid)
+		return s.attemptHedged(ctx, r, excluded)
 	}
-	return s.attempt(ctx, r, avoid, backend.Try{Proven: !r.Idempotent})
+	return s.attempt(ctx, r, excluded, backend.Try{Proven: !r.Idempotent})
 }
 
 // mayRetry reports whether handing the request over again is safe and of use.
@@ -51,52 +51,52 @@
 		return true
 	case failedRefused:
 		return r.replayable()
-	case failedBroken:
+	case failedConnectionBroke:
 		return r.Idempotent && r.replayable()
-	case failedServer:
-		return r.replayable() && f.answer.Header.Get(HeaderRetry) != RetryDone
-	case failedAtGate, failedGivenUp, failedCancelled:
+	case failedUnavailable:
+		return r.replayable() && f.response.Header.Get(HeaderRetry) != RetryDone
+	case failedAdmission, failedCancelledBeforeSend, failedCancelledAfterSend:
 	}
 	return false
 }
 
-// giveUp turns the last failure into what the caller gets; denied is set when a retry was of use but not allowed.
-func giveUp(ctx context.Context, r *Request, f *failure, denied bool) Result {
+// resultOf turns the last failure into what the caller gets; denied is set when a retry was of use but not allowed.
+func resultOf(ctx context.Context, r *Request, f *failure, denied bool) Result {
 	done := denied || r.RetryAllowance <= 0
-	if f.answer != nil {
+	if f.response != nil {
 		if done {
-			f.answer.Header.Set(HeaderRetry, RetryDone)
+			f.response.Header.Set(HeaderRetry, RetryDone)
 		}
-		return f.answer
+		return f.response
 	}
 	refusal := &Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, RetryDone: done}
 	switch f.kind {
-	case failedAtGate:
-		refusal.Reason, refusal.RetryAfter = string(f.refused.Reason), f.refused.RetryAfter
-	case failedGivenUp:
+	case failedAdmission:
+		refusal.Reason, refusal.RetryAfter = string(f.refusal.Reason), f.refusal.RetryAfter
+	case failedCancelledBeforeSend:
 		refusal.Reason = "DeadlinePassedInQueue"
 	case failedNotSent:
 		refusal.Reason = "BackendServerRefusedConnection"
 		refusal.RetryAfter = time.Second
-	case failedBroken:
+	case failedConnectionBroke:
 		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusBadGateway, claim.Unknown, "ConnectionBroke"
-	case failedCancelled:
+	case failedCancelledAfterSend:
 		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusGatewayTimeout, claim.Unknown, "DeadlinePassed"
-	case failedRefused, failedServer:
+	case failedRefused, failedUnavailable:
 	}
 	return refusal
 }
 
-func (s *Service) firstTry() {
+func (s *Service) recordRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.RecordRequest()
-	s.requests++
+	s.requestCount++
 	s.probeCredit = min(maxProbeCredit, s.probeCredit+probePerRequest)
 }
 
-// takeRetry spends one more try from the service's budget.
-func (s *Service) takeRetry() bool {
+// spendRetry spends one more try from the service's budget.
+func (s *Service) spendRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.TrySpend()
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -17,17 +17,17 @@
 
 // Service runs the requests of one service on one entry host.
 type Service struct {
-	name     string
-	steering *Dispatcher
-	mu       sync.Mutex
-	gate     *admission.Controller
-	budget   *route.RetryBudget
-	pools    map[string]*targetPool
-	classes  map[string]admission.Class
-	spec     note.Service
-	overload bool
-	// requests counts the first tries.
-	requests int64
+	name       string
+	dispatcher *Dispatcher
+	mu         sync.Mutex
+	admission  *admission.Controller
+	budget     *route.RetryBudget
+	pools      map[string]*targetPool
+	classes    map[string]admission.Class
+	spec       note.Service
+	overloaded bool
+	// requestCount counts the first tries.
+	requestCount int64
 	// probeCredit is how many probes the requests so far have earned.
 	probeCredit float64
 }
@@ -40,21 +40,21 @@
 
 func newService(s *Dispatcher, spec note.Service) *Service {
 	return &Service{
-		name: spec.Name, steering: s, pools: map[string]*targetPool{}, classes: map[string]admission.Class{},
-		gate:   admission.New(admission.Config{Router: newRouter(s.config.Seed), QueueLimit: spec.QueueLimit}),
-		budget: route.NewRetryBudget(route.RetryBudgetConfig{Ratio: spec.RetryRatio}),
+		name: spec.Name, dispatcher: s, pools: map[string]*targetPool{}, classes: map[string]admission.Class{},
+		admission: admission.New(admission.Config{Router: newRouter(s.config.Seed), QueueLimit: spec.QueueLimit}),
+		budget:    route.NewRetryBudget(route.RetryBudgetConfig{Ratio: spec.RetryRatio}),
 	}
 }
 
-// adopt takes the service's part of a configuration.
-func (s *Service) adopt(spec note.Service, c note.Configuration) {
+// apply takes the service's part of a configuration.
+func (s *Service) apply(spec note.Service, c note.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spec = spec
-	s.gate.SetQueueLimit(spec.QueueLimit)
+	s.admission.SetQueueLimit(spec.QueueLimit)
 	s.budget.SetRatio(spec.RetryRatio)
 	for _, r := range c.Rules {
-		if _, known := s.classes[r.Class]; r.Service == s.name && !known {
+		if _, found := s.classes[r.Class]; r.Service == s.name && !found {
 			s.classes[r.Class] = admission.Class(len(s.classes))
 		}
 	}
@@ -63,11 +63,11 @@
 		s.openPool(t)
 		specs = append(specs, route.Spec{Name: t.Name, Slots: t.Slots})
 	}
-	now := s.steering.config.Clock()
-	s.gate.Router().SetTargets(now, specs)
-	s.gate.Dispatch(now)
-	s.explain(c.Number)
-	s.dropPools(s.gate.Router())
+	now := s.dispatcher.config.Clock()
+	s.admission.Router().SetTargets(now, specs)
+	s.admission.Dispatch(now)
+	s.recordStateChanges(c.Number)
+	s.closeRemovedPools(s.admission.Router())
 }
 
 // openPool makes the pool of a target that is new or has moved to another address.
@@ -79,7 +79,7 @@
 	if old != nil {
 		old.close()
 	}
-	pool, closePool := backend.New(backend.Config{Address: t.Address, MaxConnections: t.Connections, DialTimeout: dialTimeout, Dial: s.steering.config.Dial})
+	pool, closePool := backend.New(backend.Config{Address: t.Address, MaxConnections: t.Connections, DialTimeout: dialTimeout, Dial: s.dispatcher.config.Dial})
 	s.pools[t.Name] = &targetPool{pool, closePool, t}
 }
 
@@ -91,44 +91,44 @@
 	}
 }
 
-// enter waits at the gate; the verdict is *admission.Bound or *admission.Refused, or nil when the context ended first.
-func (s *Service) enter(ctx context.Context, r *Request, avoid string) admission.Decision {
-	now := s.steering.config.Clock()
-	w := &admission.Request{
-		Weight: r.Rule.Weight, Domain: s.steering.domains.number(r.Domain),
-		Deadline: now + time.Until(r.Deadline), ExcludedTarget: avoid,
+// admit waits at the gate; the verdict is *admission.Bound or *admission.Refused, or nil when the context ended first.
+func (s *Service) admit(ctx context.Context, r *Request, excluded string) admission.Decision {
+	now := s.dispatcher.config.Clock()
+	request := &admission.Request{
+		Weight: r.Rule.Weight, Domain: s.dispatcher.domains.number(r.Domain),
+		Deadline: now + time.Until(r.Deadline), ExcludedTarget: excluded,
 	}
 	s.mu.Lock()
-	w.Class = s.classes[r.Rule.Class]
-	s.gate.Submit(now, w)
-	verdict := w.Decision()
-	if _, waits := verdict.(admission.Waiting); !waits {
-		s.noteOverload()
+	request.Class = s.classes[r.Rule.Class]
+	s.admission.Submit(now, request)
+	decision := request.Decision()
+	if _, waiting := decision.(admission.Waiting); !waiting {
+		s.recordOverload()
 		s.mu.Unlock()
-		return verdict
+		return decision
 	}
-	w.Decided = make(chan struct{}, 1)
-	s.noteOverload()
+	request.Decided = make(chan struct{}, 1)
+	s.recordOverload()
 	s.mu.Unlock()
 	select {
-	case <-w.Decided:
+	case <-request.Decided:
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.Cancel(w)
-	if _, waits := w.Decision().(admission.Waiting); waits {
+	s.admission.Cancel(request)
+	if _, waiting := request.Decision().(admission.Waiting); waiting {
 		return nil
 	}
-	return w.Decision()
+	return request.Decision()
 }
 
-// leave ends a bound request.
-func (s *Service) leave(b *admission.Assignment, took time.Duration, outcome route.Outcome) {
+// finish ends a bound request.
+func (s *Service) finish(a *admission.Assignment, latency time.Duration, outcome route.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.Finish(s.steering.config.Clock(), b, took, outcome)
-	s.explain(s.steering.note())
+	s.admission.Finish(s.dispatcher.config.Clock(), a, latency, outcome)
+	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
 // pool returns the connections to a target, or nil when the note has withdrawn it meanwhile.
@@ -138,52 +138,52 @@
 	return s.pools[target]
 }
 
-// expected returns the latency to expect of a target.
-func (s *Service) expected(target string) time.Duration {
+// expectedLatency returns the latency to expect of a target.
+func (s *Service) expectedLatency(target string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
-		return s.gate.Router().ExpectedLatency(s.steering.config.Clock(), i)
+	if i := s.admission.Router().Lookup(target); i != route.NoTarget {
+		return s.admission.Router().ExpectedLatency(s.dispatcher.config.Clock(), i)
 	}
 	return 0
 }
 
-// report takes in what a target says of itself.
-func (s *Service) report(target string, report route.LoadReport) {
+// applyReport takes in what a target says of itself.
+func (s *Service) applyReport(target string, report route.LoadReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router := s.gate.Router()
+	router := s.admission.Router()
 	i := router.Lookup(target)
 	if i == route.NoTarget {
 		return
 	}
-	now := s.steering.config.Clock()
+	now := s.dispatcher.config.Clock()
 	if report.Draining {
 		router.Drain(now, i, route.CauseReportedDraining)
 	} else {
 		router.ApplyReport(now, i, report)
 	}
-	s.explain(s.steering.note())
+	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
 // Drain stops new requests to a target.
 func (s *Service) Drain(target string, cause route.Cause) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
-		s.gate.Router().Drain(s.steering.config.Clock(), i, cause)
+	if i := s.admission.Router().Lookup(target); i != route.NoTarget {
+		s.admission.Router().Drain(s.dispatcher.config.Clock(), i, cause)
 	}
-	s.explain(s.steering.note())
+	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
 // Undrain lets a drained target have requests again.
 func (s *Service) Undrain(target string, cause route.Cause) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.NoTarget {
-		s.gate.Router().Undrain(s.steering.config.Clock(), i, cause)
+	if i := s.admission.Router().Lookup(target); i != route.NoTarget {
+		s.admission.Router().Undrain(s.dispatcher.config.Clock(), i, cause)
 	}
-	s.explain(s.steering.note())
+	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
 // SetPeerInFlight takes in other entry hosts' requests in flight on those targets that are the service's own.
@@ -191,8 +191,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, target := range targets {
-		if i := s.gate.Router().Lookup(target); i != route.NoTarget {
-			s.gate.Router().SetPeerInFlight(s.steering.config.Clock(), i, inFlight(target))
+		if i := s.admission.Router().Lookup(target); i != route.NoTarget {
+			s.admission.Router().SetPeerInFlight(s.dispatcher.config.Clock(), i, inFlight(target))
 		}
 	}
 }
@@ -201,8 +201,8 @@
 func (s *Service) tick() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router := s.gate.Router()
-	busy := s.gate.Queued() > 0 || router.Busy()
+	router := s.admission.Router()
+	busy := s.admission.Queued() > 0 || router.Busy()
 	if !busy && router.Stable() {
 		return false
 	}
@@ -211,45 +211,45 @@
 			router.SetRoundTrip(i, pool.RoundTrip())
 		}
 	}
-	s.gate.Tick(s.steering.config.Clock())
-	s.noteOverload()
-	s.explain(s.steering.note())
-	s.dropPools(router)
+	s.admission.Tick(s.dispatcher.config.Clock())
+	s.recordOverload()
+	s.recordStateChanges(s.dispatcher.noteNumber())
+	s.closeRemovedPools(router)
 	return busy
 }
 
-// dropPools closes the pools of targets that the router has forgotten.
-func (s *Service) dropPools(router *route.Router) {
+// closeRemovedPools closes the pools of targets that the router has forgotten.
+func (s *Service) closeRemovedPools(router *route.Router) {
 	for name, pool := range s.pools {
 		if router.Lookup(name) == route.NoTarget {
 			pool.close()
 			delete(s.pools, name)
-			s.steering.config.Records.Add(record.Record{Kind: record.TargetForgotten, Service: s.name, Target: name, Note: s.steering.note()})
+			s.dispatcher.config.Records.Add(record.Record{Kind: record.TargetForgotten, Service: s.name, Target: name, Note: s.dispatcher.noteNumber()})
 		}
 	}
 }
 
-// noteOverload writes a record when an overload begins or ends.
-func (s *Service) noteOverload() {
-	overload := s.gate.Overloaded()
-	if overload == s.overload {
+// recordOverload writes a record when an overload begins or ends.
+func (s *Service) recordOverload() {
+	overload := s.admission.Overloaded()
+	if overload == s.overloaded {
 		return
 	}
-	s.overload = overload
+	s.overloaded = overload
 	kind := record.OverloadEnded
 	if overload {
 		kind = record.OverloadBegan
 	}
-	s.steering.config.Records.Add(record.Record{
-		Kind: kind, Service: s.name, Note: s.steering.note(), Cause: "QueueRefused",
-		Evidence: record.Evidence{Queued: s.gate.Queued(), Usual: s.gate.Router().MeanLatency()},
+	s.dispatcher.config.Records.Add(record.Record{
+		Kind: kind, Service: s.name, Note: s.dispatcher.noteNumber(), Cause: "QueueRefused",
+		Evidence: record.Evidence{Queued: s.admission.Queued(), Usual: s.admission.Router().MeanLatency()},
 	})
 }
 
-// explain writes a record for each change of a target's state.
-func (s *Service) explain(number int) {
-	for _, c := range s.gate.Router().PopChanges() {
-		s.steering.config.Records.Add(record.Record{
+// recordStateChanges writes a record for each change of a target's state.
+func (s *Service) recordStateChanges(number int) {
+	for _, c := range s.admission.Router().PopChanges() {
+		s.dispatcher.config.Records.Add(record.Record{
 			Kind: record.TargetMoved, Service: s.name, Target: c.Target, From: c.From.String(), To: c.To.String(),
 			Cause: string(c.Cause), Note: number,
 			Evidence: record.Evidence{Failures: c.Failures, Latency: c.Latency, Usual: c.MeanLatency},
--- a/internal/steering/status.go
+++ b/internal/steering/status.go
@@ -11,7 +11,7 @@
 func (s *Service) Eligible() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	names := s.gate.Router().Eligible(nil)
+	names := s.admission.Router().Eligible(nil)
 	slices.Sort(names)
 	return names
 }
@@ -49,8 +49,8 @@
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router := s.gate.Router()
-	status := Status{Service: s.name, Queued: s.gate.Queued(), Usual: router.MeanLatency(), Retries: s.budget.Spent, Denied: s.budget.Denied}
+	router := s.admission.Router()
+	status := Status{Service: s.name, Queued: s.admission.Queued(), Usual: router.MeanLatency(), Retries: s.budget.Spent, Denied: s.budget.Denied}
 	for i := range router.Size() {
 		index := route.Index(i)
 		t := TargetStatus{Target: router.Name(index), State: router.State(index).String(), InFlight: router.InFlight(index)}
@@ -65,10 +65,10 @@
 
 func (s *Service) counts() []CountStatus {
 	var list []CountStatus
-	names := s.steering.domains.names()
+	names := s.dispatcher.domains.names()
 	for class, number := range s.classes {
 		for domain, name := range names {
-			c := s.gate.Counters.At(number, domain)
+			c := s.admission.Counters.At(number, domain)
 			if c.Offered.Load() == 0 {
 				continue
 			}
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -14,8 +14,8 @@
 // maxResumes is how often one answer may be taken up again.
 const maxResumes = 3
 
-// stream is a large answer on its way through; it takes a cut answer up again by Range where the backend allows it.
-type stream struct {
+// resumableBody is a large answer on its way through; it takes a cut answer up again by Range where the backend allows it.
+type resumableBody struct {
 	service *Service
 	ctx     context.Context
 	request *Request
@@ -23,97 +23,97 @@
 	target  string
 	etag    string
 	// read and total count bytes; total is -1 when it is not known.
-	read, total int64
-	resumes     int
-	end         func(route.Outcome)
-	err         error
+	read, total   int64
+	resumes       int
+	finishRequest func(route.Outcome)
+	err           error
 }
 
-func (s *Service) streamAnswer(ctx context.Context, r *Request, answer *Response, response *http.Response, end func(route.Outcome)) {
-	answer.Body = &stream{
-		service: s, ctx: ctx, request: r, body: response.Body, target: answer.Target,
-		etag: resumeTag(r, response), total: response.ContentLength, end: end,
+func (s *Service) streamResponse(ctx context.Context, r *Request, response *Response, httpResponse *http.Response, finishRequest func(route.Outcome)) {
+	response.Body = &resumableBody{
+		service: s, ctx: ctx, request: r, body: httpResponse.Body, target: response.Target,
+		etag: resumableETag(r, httpResponse), total: httpResponse.ContentLength, finishRequest: finishRequest,
 	}
 }
 
-// resumeTag returns the strong ETag of an answer that can be taken up again, or nothing.
-func resumeTag(r *Request, response *http.Response) string {
-	etag := response.Header.Get("ETag")
-	ranged := response.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
-	if r.Method != http.MethodGet || response.StatusCode != http.StatusOK || !ranged || strings.HasPrefix(etag, "W/") {
+// resumableETag returns the strong ETag of an answer that can be taken up again, or nothing.
+func resumableETag(r *Request, httpResponse *http.Response) string {
+	etag := httpResponse.Header.Get("ETag")
+	ranged := httpResponse.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
+	if r.Method != http.MethodGet || httpResponse.StatusCode != http.StatusOK || !ranged || strings.HasPrefix(etag, "W/") {
 		return ""
 	}
 	return etag
 }
 
 // Read implements io.Reader; a cut answer that cannot be taken up again ends with an error, never with io.EOF.
-func (s *stream) Read(p []byte) (int, error) {
-	if s.err != nil {
-		return 0, s.err
+func (b *resumableBody) Read(p []byte) (int, error) {
+	if b.err != nil {
+		return 0, b.err
 	}
-	n, err := s.body.Read(p)
-	s.read += int64(n)
+	n, err := b.body.Read(p)
+	b.read += int64(n)
 	if err == nil {
 		return n, nil
 	}
-	if err == io.EOF && (s.total < 0 || s.read == s.total) {
-		s.finish(route.Succeeded)
-		s.err = io.EOF
+	if err == io.EOF && (b.total < 0 || b.read == b.total) {
+		b.finish(route.Succeeded)
+		b.err = io.EOF
 		return n, io.EOF
 	}
-	if s.resume() {
+	if b.resume() {
 		return n, nil
 	}
-	s.finish(route.Failed)
-	s.err = backend.ErrBroken.New("backend server cut the answer after %d of %d bytes (%v); ask again", s.read, s.total, err)
-	return n, s.err
+	b.finish(route.Failed)
+	b.err = backend.ErrBroken.New("backend server cut the answer after %d of %d bytes (%v); ask again", b.read, b.total, err)
+	return n, b.err
 }
 
 // resume asks another target for the rest of the same representation.
-func (s *stream) resume() bool {
-	if s.etag == "" || s.total < 0 || s.ctx.Err() != nil || s.resumes >= maxResumes {
+func (b *resumableBody) resume() bool {
+	if b.etag == "" || b.total < 0 || b.ctx.Err() != nil || b.resumes >= maxResumes {
 		return false
 	}
-	s.resumes++
-	s.finish(route.Failed)
-	if !s.service.takeRetry() {
+	b.resumes++
+	b.finish(route.Failed)
+	if !b.service.spendRetry() {
 		return false
 	}
-	rest := *s.request
-	rest.Header = s.request.Header.Clone()
-	rest.Header.Set("Range", "bytes="+strconv.FormatInt(s.read, 10)+"-")
-	rest.Header.Set("If-Range", s.etag)
-	answer, failed := s.service.attempt(s.ctx, &rest, s.target, backend.Try{Fresh: true})
+	rangeRequest := *b.request
+	rangeRequest.Header = b.request.Header.Clone()
+	rangeRequest.Header.Set("Range", "bytes="+strconv.FormatInt(b.read, 10)+"-")
+	rangeRequest.Header.Set("If-Range", b.etag)
+	response, failed := b.service.attempt(b.ctx, &rangeRequest, b.target, backend.Try{Fresh: true})
 	if failed != nil {
 		return false
 	}
-	start := "bytes " + strconv.FormatInt(s.read, 10) + "-"
-	same := answer.Status == http.StatusPartialContent && answer.Header.Get("ETag") == s.etag &&
-		strings.HasPrefix(answer.Header.Get("Content-Range"), start) && strings.HasSuffix(answer.Header.Get("Content-Range"), "/"+strconv.FormatInt(s.total, 10))
+	start := "bytes " + strconv.FormatInt(b.read, 10) + "-"
+	same := response.Status == http.StatusPartialContent && response.Header.Get("ETag") == b.etag &&
+		strings.HasPrefix(response.Header.Get("Content-Range"), start) && strings.HasSuffix(response.Header.Get("Content-Range"), "/"+strconv.FormatInt(b.total, 10))
 	if !same {
 		// The other target holds another representation; nothing of it is used.
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 		return false
 	}
-	s.body, s.target = answer.Body, answer.Target
+	b.body, b.target = response.Body, response.Target
 	return true
 }
 
 // finish gives the target's slot back, once.
-func (s *stream) finish(outcome route.Outcome) {
+func (b *resumableBody) finish(outcome route.Outcome) {
 	// The body's end is known already; Close only gives the connection back.
-	_ = s.body.Close()
-	if s.end != nil {
-		s.end(outcome)
-		s.end = nil
+	_ = b.body.Close()
+	if b.finishRequest != nil {
+		b.finishRequest(outcome)
+		b.finishRequest = nil
 	}
 }
 
 // Close implements io.Closer.
-func (s *stream) Close() error {
-	s.finish(route.Abandoned)
-	if s.err == nil {
-		s.err = http.ErrBodyReadAfterClose
+func (b *resumableBody) Close() error {
+	b.finish(route.Abandoned)
+	if b.err == nil {
+		b.err = http.ErrBodyReadAfterClose
 	}
 	return nil
 }
