--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,4 +1,6 @@
-// Package admission lets requests of one service in: it binds them late to free slots, keeps a bounded weighted queue and refuses early.
+// Package admission implements admission control for the requests of one service. A request is assigned to a target
+// only once the target has a free slot; until then it waits in a bounded queue that classes share by weight. Requests
+// that cannot meet their deadline are refused at once rather than left to time out in the queue.
 package admission
 
 import (
@@ -7,10 +9,10 @@
 	"briarcroft/internal/route"
 )
 
-// Reason says why a request was refused; every refusal means that it was not run.
+// Reason says why a request was refused. A refused request has not been sent to any target.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons of refusals.
 const (
 	ReasonQueueFull           Reason = "QueueFull"
 	ReasonDeadlineCannotBeMet Reason = "DeadlineCannotBeMet"
@@ -18,17 +20,19 @@
 	ReasonDisplaced           Reason = "DisplacedByHigherShare"
 )
 
-// Request is one request at the gate. The owner reads Bound once and must call Leave after a target was bound.
+// Request is one request submitted to a Controller. Once its decision is an *Assignment, the submitter must end it with
+// Controller.Finish.
 type Request struct {
 	Class  Class
 	Weight int
 	Domain Domain
-	// Deadline is the latest time for the answer, on the gate's clock.
+	// Deadline is the latest time for the response, on the clock that is passed to the Controller's methods.
 	Deadline time.Duration
-	// ExcludedTarget names a target not to use, for a retry; empty for none.
+	// ExcludedTarget is the name of a target that the request must not be assigned to, such as the one that just failed it.
+	// It is empty if there is none.
 	ExcludedTarget string
-	// Decided is signalled once when a waiter that had to wait is bound or refused; it needs room for one signal.
-	// It is nil when the owner looks at Verdict itself.
+	// Decided receives one value when a queued request is assigned or refused. It needs a buffer of one.
+	// It may be nil if the submitter polls Decision instead.
 	Decided chan struct{}
 
 	decision       Decision
@@ -36,24 +40,25 @@
 	refusal        Refusal
 	previous, next *Request
 	classQueue     *classQueue
-	// wasQueued is set once the waiter has been in the queue; only then is Ready signalled.
+	// wasQueued is set once the request has been queued. Decided is signalled only then, because Submit itself
+	// sets the decision of a request that is not queued.
 	wasQueued bool
 }
 
-// Decision is the gate's decision on a waiter: Waiting, Bound or Refused.
+// Decision is the state of a submitted request: Waiting, *Assignment or *Refusal.
 type Decision interface{ isDecision() }
 
 // Waiting means that the request is in the queue.
 type Waiting struct{}
 
-// Assignment means that the request may go to the target now.
+// Assignment is the decision to send the request to a target now; the request holds one of its slots until it is finished.
 type Assignment struct {
 	Target string
 	Index  route.Index
 	Start  time.Duration
 }
 
-// Refusal means that the request will not be run.
+// Refusal is the decision not to run the request.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -63,16 +68,17 @@
 func (*Assignment) isDecision() {}
 func (*Refusal) isDecision()    {}
 
-// Decision returns the decision so far.
+// Decision returns the current decision on the request.
 func (r *Request) Decision() Decision { return r.decision }
 
-// Config sets up a Gate.
+// Config configures a Controller.
 type Config struct {
 	Router     *route.Router
 	QueueLimit int
 }
 
-// Controller joins one service's queue with its router. It is not safe for concurrent use.
+// Controller admits the requests of one service: it queues them and assigns them to targets that its router picks.
+// It is not safe for concurrent use.
 type Controller struct {
 	router     *route.Router
 	queueLimit int
@@ -81,24 +87,24 @@
 	overloaded bool
 }
 
-// New returns an open gate.
+// New returns a Controller with an empty queue.
 func New(c Config) *Controller {
 	return &Controller{router: c.Router, queueLimit: c.QueueLimit}
 }
 
-// Router returns the router behind the gate.
+// Router returns the router that picks the targets.
 func (c *Controller) Router() *route.Router { return c.router }
 
-// SetQueueLimit changes the most requests that may wait.
+// SetQueueLimit sets the maximum number of queued requests. Requests that are queued already stay.
 func (c *Controller) SetQueueLimit(limit int) { c.queueLimit = limit }
 
-// Queued returns the number of waiting requests.
+// Queued returns the number of queued requests.
 func (c *Controller) Queued() int { return c.queue.size }
 
-// Overloaded reports whether the queue has refused lately and has not emptied since.
+// Overloaded reports whether a request has been refused for lack of capacity since the queue was last empty.
 func (c *Controller) Overloaded() bool { return c.overloaded }
 
-// Submit offers a request; its verdict is set when Enter returns.
+// Submit assigns, queues or refuses a request. The decision is set when Submit returns.
 func (c *Controller) Submit(now time.Duration, r *Request) {
 	counters := c.Counters.At(r.Class, r.Domain)
 	counters.Offered.Add(1)
@@ -128,22 +134,23 @@
 	c.displace(now, r)
 }
 
-// displace makes room in a full queue by refusing the newest waiter of the class furthest over its share.
+// displace makes room in a full queue by refusing the newest request of the class that is furthest over its share.
+// It refuses r instead if r belongs to that class or would put its own class as far over its share.
 func (c *Controller) displace(now time.Duration, r *Request) {
-	overShare := c.queue.furthestOverShare()
+	worst := c.queue.furthestOverShare()
 	ownQueue := c.queue.classQueue(r.Class)
 	weight := max(1, float64(r.Weight))
-	if overShare == nil || overShare == ownQueue || float64(ownQueue.size+1)/weight >= float64(overShare.size)/overShare.weight {
+	if worst == nil || worst == ownQueue || float64(ownQueue.size+1)/weight >= float64(worst.size)/worst.weight {
 		c.refuse(r, ReasonQueueFull, c.predictWait(now, c.queue.size))
 		return
 	}
-	displaced := overShare.tail
+	displaced := worst.tail
 	c.queue.remove(displaced)
 	c.refuse(displaced, ReasonDisplaced, c.predictWait(now, c.queue.size))
 	c.queue.push(r)
 }
 
-// predictWait returns how long the given number of waiters takes to be served.
+// predictWait estimates the time until a request with the given number of requests ahead of it is assigned.
 func (c *Controller) predictWait(now time.Duration, ahead int) time.Duration {
 	meanLatency := c.router.MeanLatency()
 	if meanLatency == 0 {
@@ -165,7 +172,7 @@
 	}
 }
 
-// assign hands the waiter to a target and reports whether one was free.
+// assign assigns the request to a target and reports whether the router found one with a free slot.
 func (c *Controller) assign(now time.Duration, r *Request) bool {
 	excluded := route.NoTarget
 	if r.ExcludedTarget != "" {
@@ -185,7 +192,8 @@
 	return true
 }
 
-// Finish ends a bound request that took so long to its answer, and binds waiters to what became free.
+// Finish ends an assigned request and assigns queued requests to the slots that became free.
+// Latency is the time from the assignment to the response.
 func (c *Controller) Finish(now time.Duration, a *Assignment, latency time.Duration, outcome route.Outcome) {
 	if i := c.router.Lookup(a.Target); i != route.NoTarget {
 		c.router.Finish(now, i, a.Start, latency, outcome)
@@ -193,32 +201,32 @@
 	c.Dispatch(now)
 }
 
-// Cancel takes a waiter out of the queue; it does nothing once the waiter is bound or refused.
+// Cancel removes a request from the queue. It does nothing once the request is assigned or refused.
 func (c *Controller) Cancel(r *Request) {
 	if r.classQueue != nil {
 		c.queue.remove(r)
 	}
 }
 
-// Dispatch binds waiters while targets are free and refuses those whose deadline cannot be met.
+// Dispatch refuses queued requests whose deadline can no longer be met and assigns the others while slots are free.
 func (c *Controller) Dispatch(now time.Duration) {
 	c.refuseExpired(now)
 	for c.queue.size > 0 {
-		f := c.queue.next()
-		r := f.head
+		class := c.queue.next()
+		r := class.head
 		if !c.assign(now, r) {
 			return
 		}
 		c.queue.remove(r)
-		c.queue.advance(f)
+		c.queue.advance(class)
 	}
 	c.overloaded = false
 }
 
 func (c *Controller) refuseExpired(now time.Duration) {
 	meanLatency := c.router.MeanLatency()
-	for _, f := range c.queue.classes {
-		for r := f.firstExpired(now, meanLatency); r != nil; r = f.firstExpired(now, meanLatency) {
+	for _, class := range c.queue.classes {
+		for r := class.firstExpired(now, meanLatency); r != nil; r = class.firstExpired(now, meanLatency) {
 			c.queue.remove(r)
 			c.overloaded = true
 			c.refuse(r, ReasonDeadlineCannotBeMet, c.predictWait(now, c.queue.size))
@@ -226,7 +234,7 @@
 	}
 }
 
-// Tick runs the router's timers and dispatches; call it several times a second.
+// Tick runs the router's timers and dispatches queued requests. It must be called several times a second.
 func (c *Controller) Tick(now time.Duration) {
 	c.router.Tick(now)
 	c.Dispatch(now)
--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -2,31 +2,31 @@
 
 import "sync/atomic"
 
-// Class is the number of a class within one service.
+// Class is the index of a priority class within one service.
 type Class int
 
-// Domain is the number of a caller's failure domain.
+// Domain is the index of the failure domain that a request comes from.
 type Domain int
 
-// Sizes of the table of counts.
+// Dimensions of CounterTable.
 const (
 	MaxClasses = 16
 	MaxDomains = 16
 )
 
-// Counters is what one class of one failure domain did; every field only grows.
+// Counters counts the requests of one class and failure domain. All fields are cumulative and never reset.
 type Counters struct {
 	Offered, Admitted, Refused atomic.Int64
-	// Weighted is the sum of the weights of admitted requests.
+	// Weighted is the sum of the weights of the admitted requests.
 	Weighted atomic.Int64
 }
 
-// CounterTable holds a Count per class and failure domain in one flat table.
+// CounterTable holds the Counters of every class and failure domain in a fixed array, so that counting allocates nothing.
 type CounterTable struct {
 	counters [MaxClasses * MaxDomains]Counters
 }
 
-// At returns the count of a class and failure domain; numbers beyond the table share its last row.
+// At returns the counters of a class and failure domain. Indices outside the table are clamped to its bounds.
 func (c *CounterTable) At(class Class, domain Domain) *Counters {
 	class = min(max(class, 0), MaxClasses-1)
 	domain = min(max(domain, 0), MaxDomains-1)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,47 +2,49 @@
 
 import "time"
 
-// classQueue is a queue of waiters of one class, linked through the waiters so that it allocates nothing.
+// classQueue is the FIFO queue of one class. It is an intrusive list of the requests, so that queueing allocates nothing.
 type classQueue struct {
 	head, tail *Request
 	size       int
-	// virtualTime is the class's virtual time in stride scheduling; the least goes next.
+	// virtualTime is the class's pass value in stride scheduling; the class with the least is served next.
 	virtualTime float64
 	weight      float64
 }
 
-func (f *classQueue) push(r *Request) {
-	r.previous, r.next = f.tail, nil
-	if f.tail == nil {
-		f.head = r
+func (c *classQueue) push(r *Request) {
+	r.previous, r.next = c.tail, nil
+	if c.tail == nil {
+		c.head = r
 	} else {
-		f.tail.next = r
+		c.tail.next = r
 	}
-	f.tail = r
-	f.size++
-	r.classQueue, r.wasQueued = f, true
+	c.tail = r
+	c.size++
+	r.classQueue, r.wasQueued = c, true
 }
 
-func (f *classQueue) remove(r *Request) {
+func (c *classQueue) remove(r *Request) {
 	if r.previous == nil {
-		f.head = r.next
+		c.head = r.next
 	} else {
 		r.previous.next = r.next
 	}
 	if r.next == nil {
-		f.tail = r.previous
+		c.tail = r.previous
 	} else {
 		r.next.previous = r.previous
 	}
 	r.previous, r.next, r.classQueue = nil, nil, nil
-	f.size--
+	c.size--
 }
 
-// queue holds the waiters of one service, shared among classes by weight. It is not safe for concurrent use.
+// queue holds the queued requests of one service and serves its classes in proportion to their weights by stride
+// scheduling. It is not safe for concurrent use.
 type queue struct {
 	classes []*classQueue
 	size    int
-	// virtualTime is the pass of the class served last; a class that wakes up starts there.
+	// virtualTime is that of the class served last. A class that was empty starts from it, so that it gets no credit
+	// for the time when it had no requests.
 	virtualTime float64
 }
 
@@ -54,12 +56,12 @@
 }
 
 func (q *queue) push(r *Request) {
-	f := q.classQueue(r.Class)
-	f.weight = max(1, float64(r.Weight))
-	if f.size == 0 {
-		f.virtualTime = max(f.virtualTime, q.virtualTime)
+	c := q.classQueue(r.Class)
+	c.weight = max(1, float64(r.Weight))
+	if c.size == 0 {
+		c.virtualTime = max(c.virtualTime, q.virtualTime)
 	}
-	f.push(r)
+	c.push(r)
 	q.size++
 }
 
@@ -68,53 +70,54 @@
 	q.size--
 }
 
-// next returns the class to serve next, or nil when nothing waits.
+// next returns the class to serve next, or nil if the queue is empty.
 func (q *queue) next() *classQueue {
 	var best *classQueue
-	for _, f := range q.classes {
-		if f.size > 0 && (best == nil || f.virtualTime < best.virtualTime) {
-			best = f
+	for _, c := range q.classes {
+		if c.size > 0 && (best == nil || c.virtualTime < best.virtualTime) {
+			best = c
 		}
 	}
 	return best
 }
 
-// advance moves a class on after one of its waiters was served.
-func (q *queue) advance(f *classQueue) {
-	q.virtualTime = f.virtualTime
-	f.virtualTime += 1 / f.weight
+// advance advances the virtual time of a class after one of its requests was assigned.
+func (q *queue) advance(c *classQueue) {
+	q.virtualTime = c.virtualTime
+	c.virtualTime += 1 / c.weight
 }
 
-// furthestOverShare returns the class that holds the most waiters for its weight.
+// furthestOverShare returns the class with the most queued requests per weight, or nil if the queue is empty.
 func (q *queue) furthestOverShare() *classQueue {
 	var worst *classQueue
-	for _, f := range q.classes {
-		if f.size > 0 && (worst == nil || float64(f.size)/f.weight > float64(worst.size)/worst.weight) {
-			worst = f
+	for _, c := range q.classes {
+		if c.size > 0 && (worst == nil || float64(c.size)/c.weight > float64(worst.size)/worst.weight) {
+			worst = c
 		}
 	}
 	return worst
 }
 
-// aheadOf returns how many waiters would be served before a new one of the class.
+// aheadOf returns how many queued requests would be served before a new request of the class.
 func (q *queue) aheadOf(class Class, weight int) int {
 	ownQueue := q.classQueue(class)
 	share := float64(ownQueue.size+1) / max(1, float64(weight))
 	sum := 0.0
-	for _, f := range q.classes {
-		if f == ownQueue {
-			sum += float64(f.size)
+	for _, c := range q.classes {
+		if c == ownQueue {
+			sum += float64(c.size)
 			continue
 		}
-		sum += min(float64(f.size), share*f.weight)
+		sum += min(float64(c.size), share*c.weight)
 	}
 	return int(sum)
 }
 
-// firstExpired returns a waiter whose deadline cannot be met any more, or nil.
-func (f *classQueue) firstExpired(now, minRemaining time.Duration) *Request {
-	if f.head != nil && f.head.Deadline < now+minRemaining {
-		return f.head
+// firstExpired returns the request at the head of the queue if it cannot be answered before its deadline within
+// minRemaining, or nil.
+func (c *classQueue) firstExpired(now, minRemaining time.Duration) *Request {
+	if c.head != nil && c.head.Deadline < now+minRemaining {
+		return c.head
 	}
 	return nil
 }
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -7,7 +7,7 @@
 // Cause says why a target's state changed.
 type Cause string
 
-// The causes of a change of state.
+// Causes of state changes.
 const (
 	CauseAdded            Cause = "AddedByNote"
 	CauseWithdrawn        Cause = "WithdrawnByNote"
@@ -21,37 +21,39 @@
 	CauseHostListLive     Cause = "HostListLive"
 )
 
-// StateChange is one change of a target's state, with the evidence for it.
+// StateChange is a change of a target's state, with the evidence for it.
 type StateChange struct {
 	Target string
 	From   State
 	To     State
 	Cause  Cause
-	// Failures is the number of failures in a row; Latency and Usual compare the target with its service.
+	// Failures is the target's number of consecutive failures. Latency is the target's mean latency and MeanLatency that
+	// of the whole service.
 	Failures    int
 	Latency     time.Duration
 	MeanLatency time.Duration
 }
 
-// Outcome is how a request on a target ended, as far as the target's health goes.
+// Outcome is how a request on a target ended, as far as it matters for the target's health.
 type Outcome int
 
-// The outcomes of a request.
+// Outcomes of requests.
 const (
-	// Succeeded means that an answer came, whatever it said.
+	// Succeeded means that a complete response arrived, whatever its status.
 	Succeeded Outcome = iota
-	// Failed means a broken or silent connection, or a server error.
+	// Failed means that the connection failed or broke, or that the target responded that it was unavailable.
 	Failed
-	// Refused means that the target said it did not run the request.
+	// Refused means that the target was not asked to run the request or responded that it did not run it.
 	Refused
-	// Abandoned means that this host or the caller gave up; it says nothing of the target but its age.
+	// Abandoned means that this host or the caller cancelled the request. Its age is then only a lower bound of the
+	// target's latency, and it counts neither for nor against the target's health.
 	Abandoned
 )
 
-// LoadReport is a target's own word on its load; it may be stale or wrong.
+// LoadReport is the load that a target reports about itself. It may be stale or wrong.
 type LoadReport struct {
 	InFlight int
 	Draining bool
-	// Age is how old the report was when it arrived.
+	// Age is the age of the report when it was received.
 	Age time.Duration
 }
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// Times and counts of ejection and slow start.
+// Parameters of slow start and of the ejection of unhealthy targets. A target is ejected for ejectDuration after
+// failuresToEject consecutive failures, or if its mean latency has been stragglerRatio times that of the service for
+// stragglerDelay.
 const (
 	rampDuration     = 2 * time.Second
 	failuresToEject  = 3
@@ -15,8 +17,9 @@
 	stragglerDelay   = time.Second
 )
 
-// SetTargets replaces the specs. Known targets keep what was learned; new ones ramp up unless the router was empty.
-// Targets that are gone start to drain and are forgotten when nothing is in flight.
+// SetTargets replaces the set of targets. Targets that remain keep their state and measurements; new ones start with
+// few requests and ramp up, unless the router was empty. Targets that are not in specs are drained, and removed once
+// they have no requests in flight.
 func (r *Router) SetTargets(now time.Duration, specs []Spec) {
 	initial := len(r.targets) == 0
 	configured := map[string]bool{}
@@ -57,7 +60,7 @@
 	r.setState(now, t, state, CauseAdded)
 }
 
-// removeWithdrawn drops withdrawn targets that hold no requests; indexes of the others may change.
+// removeWithdrawn removes withdrawn targets without requests in flight. The indices of other targets may change.
 func (r *Router) removeWithdrawn() {
 	removable := func(t *target) bool { return t.stateCause == CauseWithdrawn && len(t.starts) == 0 }
 	if !slices.ContainsFunc(r.targets, removable) {
@@ -70,21 +73,22 @@
 	}
 }
 
-// Drain stops new requests to a target that is leaving.
+// Drain stops sending new requests to a target. Requests in flight go on.
 func (r *Router) Drain(now time.Duration, i Index, cause Cause) {
 	if t := r.targets[i]; t.state != Draining {
 		r.setState(now, t, Draining, cause)
 	}
 }
 
-// Undrain lets a target that was drained by the host list or by reports ramp up again.
+// Undrain lets a draining target ramp up again, unless it was withdrawn from the configuration.
 func (r *Router) Undrain(now time.Duration, i Index, cause Cause) {
 	if t := r.targets[i]; t.state == Draining && t.stateCause != CauseWithdrawn {
 		r.setState(now, t, Ramping, cause)
 	}
 }
 
-// eject takes a target out for a time that grows with each ejection in a row; the floor of targets stays in.
+// eject stops sending requests to a target for a time that doubles with each consecutive ejection, up to
+// maxEjectDuration. It does nothing if too few targets would remain.
 func (r *Router) eject(now time.Duration, t *target, cause Cause) {
 	if t.state == Ejected || t.state == Draining || !r.mayEject() {
 		return
@@ -95,7 +99,8 @@
 	r.setState(now, t, Ejected, cause)
 }
 
-// mayEject reports whether one more target can be ejected: at least half of those not draining stay in.
+// mayEject reports whether one more target can be ejected. At least one target, and at least half of those that are
+// not draining, must stay eligible, so that a fault on the path to all targets does not empty the service.
 func (r *Router) mayEject() bool {
 	eligible, total := 0, 0
 	for _, t := range r.targets {
@@ -111,7 +116,8 @@
 	return eligible > 1 && 2*(eligible-1) >= total
 }
 
-// Tick ends ejections and ramps and ejects stragglers; call it several times a second.
+// Tick ends ejections and slow starts that are due, ejects stragglers and removes withdrawn targets. It must be called
+// several times a second.
 func (r *Router) Tick(now time.Duration) {
 	for _, t := range r.targets {
 		switch {
@@ -128,7 +134,7 @@
 }
 
 func (r *Router) checkStraggler(now time.Duration, t *target) {
-	// Travel is no fault of the target: one in another region is far, not slow.
+	// Network time is subtracted, so that a target in another region is not taken for a straggler.
 	if r.meanLatency == 0 || t.slowMean-t.spec.RoundTrip.Seconds() < stragglerRatio*r.meanLatency || now-t.latencyAt > slowTimeConstant {
 		t.slowSince = -1
 		if now-t.stateSince > maxEjectDuration {
@@ -152,15 +158,16 @@
 	t.state, t.stateCause, t.stateSince = to, cause, now
 }
 
-// PopChanges returns the changes of state since the last call.
+// PopChanges returns the state changes since its last call.
 func (r *Router) PopChanges() []StateChange {
 	changes := r.changes
 	r.changes = nil
 	return changes
 }
 
-// ApplyProbe takes in what a target's report address says of its leaving. A target that drains by its own word returns
-// only when the same address first confirmed that and then took it back: one that never confirmed it lags or misleads.
+// ApplyProbe applies the draining flag that a probe of the target's report path returned. A target that is draining
+// because it said so in a response ramps up again only after a probe has first confirmed the draining and a later probe
+// has revoked it. A report path that has never confirmed the draining may be stale or wrong, so its word is ignored.
 func (r *Router) ApplyProbe(now time.Duration, i Index, draining bool) {
 	t := r.targets[i]
 	switch {
@@ -172,7 +179,7 @@
 	}
 }
 
-// Stable reports whether no target waits for a timer or to be forgotten.
+// Stable reports whether no target is ramping up, ejected or waiting to be removed, so that Tick has no timer to run.
 func (r *Router) Stable() bool {
 	return !slices.ContainsFunc(r.targets, func(t *target) bool {
 		return t.state == Ramping || t.state == Ejected || t.stateCause == CauseWithdrawn
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -4,21 +4,23 @@
 	"time"
 )
 
-// Weights of a target's score.
+// Parameters of a target's score, which is its expected time to a response.
 const (
-	// maxScoreRatio is how many usual latencies a target's answer may take before waiting for another target is better.
+	// maxScoreRatio is the maximum score of a target, as a multiple of the service's mean latency. Beyond it the request
+	// is better queued until a faster target has a free slot.
 	maxScoreRatio  = 2.0
 	loadWeight     = 0.1
 	tieBreakWeight = 0.02
-	// defaultLatency is taken in seconds for a target before anything is known.
+	// defaultLatency is the latency in seconds that is assumed before any was measured.
 	defaultLatency = 1e-3
-	// meanLatencyGain is the weight of one latency in the service's usual one, which counts outliers only up to clipRatio.
+	// meanLatencyGain is the weight of one latency in the service's moving mean. Latencies count there as at most
+	// outlierClipRatio times the mean, so that outliers do not distort it.
 	meanLatencyGain  = 0.02
 	outlierClipRatio = 3
 )
 
-// Pick returns the target to run one more request, or None when it is better to wait.
-// Queued is the number of requests that wait before this one; avoid is a target not to use, or None.
+// Pick returns the target for one more request, or NoTarget if the request should wait.
+// Queued is the number of requests queued before it; excluded is a target not to use, or NoTarget.
 func (r *Router) Pick(now time.Duration, queued int, excluded Index) Index {
 	best, bestScore := NoTarget, 0.0
 	capacity, busy := 0, 0
@@ -48,8 +50,8 @@
 	return best
 }
 
-// backlogOvercommit returns how many more requests than usual a target may hold while others wait:
-// a slot that idles while an answer travels costs more then than a short wait at the target.
+// backlogOvercommit returns how many requests beyond its limit a target may hold while requests are queued: a slot that
+// is idle while a response is on the network then costs more than a short wait at the target.
 func (r *Router) backlogOvercommit(queued int) int {
 	if queued == 0 {
 		return 0
@@ -57,7 +59,7 @@
 	return 1 + min(1, queued/(2*len(r.targets)))
 }
 
-// score returns the expected time to an answer in seconds, with a small random part to break ties.
+// score returns the expected time to a response in seconds, with a small random part to break ties.
 func (r *Router) score(now time.Duration, t *target, load float64) float64 {
 	estimate := t.estimateLatency(now, r.meanLatency)
 	if estimate == 0 {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -1,4 +1,6 @@
-// Package route decides which target runs a request. It knows no sockets and no wall clock: callers pass the time in.
+// Package route picks the target for each request of a service. A target is one backend server of the service. The
+// package tracks the latency, load and health of the targets, ejects those that fail or are slow, and ramps new ones
+// up. It does no input or output and reads no clock: callers pass the time as a duration on a monotonic clock.
 package route
 
 import (
@@ -7,25 +9,26 @@
 	"time"
 )
 
-// Index names a target of a Router until its targets are next set.
+// Index identifies a target of a Router. It is valid until the next call of SetTargets or Tick, which may remove targets.
 type Index int
 
-// NoTarget is the Index of no target.
+// NoTarget is the Index that stands for no target.
 const NoTarget Index = -1
 
-// Config sets up a Router.
+// Config configures a Router.
 type Config struct {
 	Random *rand.Rand
-	// Overcommit is the number of requests beyond its slots that a target may hold; negative means by round trip.
+	// Overcommit is the number of requests beyond its slots that a target may hold. If it is negative, the number is
+	// computed from the target's round-trip time.
 	Overcommit int
 }
 
-// Router holds one entry host's knowledge of one service's targets. It is not safe for concurrent use.
+// Router holds the state of one service's targets as one entry host sees them. It is not safe for concurrent use.
 type Router struct {
 	config  Config
 	targets []*target
 	byName  map[string]Index
-	// meanLatency is the service's moving mean latency in seconds, with outliers clipped.
+	// meanLatency is the service's moving mean latency in seconds, with outliers clipped; 0 means that none was measured.
 	meanLatency float64
 	changes     []StateChange
 }
@@ -35,7 +38,7 @@
 	return &Router{config: c, byName: map[string]Index{}}
 }
 
-// Lookup returns the index of a target by name, or None.
+// Lookup returns the index of the target of that name, or NoTarget.
 func (r *Router) Lookup(name string) Index {
 	if i, known := r.byName[name]; known {
 		return i
@@ -46,10 +49,10 @@
 // Name returns the name of a target.
 func (r *Router) Name(i Index) string { return r.targets[i].spec.Name }
 
-// Size returns the number of targets known, whatever their state.
+// Size returns the number of targets in any state.
 func (r *Router) Size() int { return len(r.targets) }
 
-// MeanLatency returns the service's usual latency.
+// MeanLatency returns the service's moving mean latency, with outliers clipped, or 0 if none was measured.
 func (r *Router) MeanLatency() time.Duration { return seconds(r.meanLatency) }
 
 // ExpectedLatency returns the latency to expect of a target now.
@@ -57,10 +60,10 @@
 	return seconds(r.targets[i].estimateLatency(now, r.meanLatency))
 }
 
-// InFlight returns the number of own requests on a target.
+// InFlight returns the number of this host's requests in flight on a target.
 func (r *Router) InFlight(i Index) int { return len(r.targets[i].starts) }
 
-// Capacity returns how many requests all eligible targets may hold, at least 1.
+// Capacity returns how many requests all eligible targets together may hold, at least 1.
 func (r *Router) Capacity(now time.Duration) int {
 	sum := 0
 	for _, t := range r.targets {
@@ -69,14 +72,14 @@
 	return max(1, sum)
 }
 
-// Start notes that a request was handed to a target.
+// Start records that a request is sent to a target.
 func (r *Router) Start(now time.Duration, i Index) {
 	t := r.targets[i]
 	t.starts = append(t.starts, now)
 }
 
-// Finish notes the end of a request that started at the given time.
-// Took is the time to the answer; it may be less than the time since the start when the caller read slowly.
+// Finish records the end of a request that started at the given time.
+// Elapsed is the time to the response; it is less than the time since the start if the caller read the body slowly.
 func (r *Router) Finish(now time.Duration, i Index, start, elapsed time.Duration, outcome Outcome) {
 	t := r.targets[i]
 	t.removeStart(start)
@@ -99,7 +102,7 @@
 	}
 }
 
-// recordLatency takes the latency of a success into the target's and the service's means.
+// recordLatency adds the latency of a successful request to the target's and the service's means.
 func (r *Router) recordLatency(now time.Duration, t *target, latency float64) {
 	t.recordLatency(now, latency)
 	if r.meanLatency == 0 {
@@ -109,7 +112,8 @@
 	r.meanLatency += (min(latency, outlierClipRatio*r.meanLatency) - r.meanLatency) * meanLatencyGain
 }
 
-// ApplyReport takes in a target's own word and reports whether it was believed.
+// ApplyReport applies a target's load report and reports whether it was accepted. A fresh report of fewer requests than
+// this host alone has in flight contradicts it; the target's reports are then ignored for reportDistrustTime.
 func (r *Router) ApplyReport(now time.Duration, i Index, report LoadReport) bool {
 	t := r.targets[i]
 	if report.Draining {
@@ -128,18 +132,18 @@
 	return true
 }
 
-// SetPeerInFlight sets the sum of other entry hosts' requests in flight on a target.
+// SetPeerInFlight sets the number of requests that all other entry hosts have in flight on a target.
 func (r *Router) SetPeerInFlight(now time.Duration, i Index, inFlight int) {
 	t := r.targets[i]
 	t.peerInFlight, t.peerInFlightAt = float64(inFlight), now
 }
 
-// SetRoundTrip sets the network's share of a request's time on a target.
+// SetRoundTrip sets the network's share of the latency of a target's requests.
 func (r *Router) SetRoundTrip(i Index, roundTrip time.Duration) {
 	r.targets[i].spec.RoundTrip = roundTrip
 }
 
-// Eligible appends the names of the targets that may get new requests.
+// Eligible appends the names of the targets that may get new requests to names.
 func (r *Router) Eligible(names []string) []string {
 	for _, t := range r.targets {
 		if t.state == Live || t.state == Ramping {
@@ -154,13 +158,13 @@
 // State returns the state of a target.
 func (r *Router) State(i Index) State { return r.targets[i].state }
 
-// LastObserved returns when something was last learned of a target, or asked.
+// LastObserved returns when a target's latency was last measured or the target last probed, whichever is later.
 func (r *Router) LastObserved(i Index) time.Duration {
 	t := r.targets[i]
 	return max(t.latencyAt, t.probedAt)
 }
 
-// MarkProbed notes that a target is being probed.
+// MarkProbed records that a target is being probed.
 func (r *Router) MarkProbed(now time.Duration, i Index) { r.targets[i].probedAt = now }
 
 // Busy reports whether any request is in flight.
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -8,17 +8,21 @@
 // State says whether a target may get new requests.
 type State int
 
-// The states of a target.
+// States of targets.
 const (
+	// Live targets may get as many requests as they have capacity for.
 	Live State = iota
+	// Ramping targets are in slow start: their limit grows from 1 to their number of slots.
 	Ramping
+	// Ejected targets get no requests for some time after failures or slow responses.
 	Ejected
+	// Draining targets get no new requests but finish those in flight.
 	Draining
 	// Absent is the state before a target was added.
 	Absent
 )
 
-// String returns the state's name.
+// String implements fmt.Stringer.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -35,50 +39,52 @@
 	return "Unknown"
 }
 
-// Spec is what a release note and the network say of a target.
+// Spec describes a target: its name and slots come from the configuration, its round-trip time is measured.
 type Spec struct {
 	Name  string
 	Slots int
-	// RoundTrip is the network's share of a request's time.
+	// RoundTrip is the network's share of a request's latency.
 	RoundTrip time.Duration
 }
 
-// target is what one entry host knows of one target; times are on the caller's monotonic clock.
+// target is the state of one target as this host sees it. Times are on the monotonic clock of the Router's caller.
 type target struct {
 	spec  Spec
 	state State
-	// stateSince is when the state began; until is when an ejection ends.
+	// stateSince is when the state began; ejectedUntil is when an ejection ends.
 	stateSince, ejectedUntil time.Duration
-	// stateCause explains the state.
+	// stateCause is the cause of the last state change.
 	stateCause Cause
-	// ejections counts ejections in a row, for the exponential delay.
+	// ejections counts consecutive ejections, for the exponential back-off.
 	ejections int
-	// starts holds the start times of own requests in flight.
+	// starts holds the start times of this host's requests in flight.
 	starts []time.Duration
-	// fastMean and slow are moving means of latency in seconds over two horizons; 0 means unknown.
+	// fastMean and slowMean are moving means of the latency in seconds with a short and a long time constant;
+	// 0 means that none was measured. latencyAt is when they were updated.
 	fastMean, slowMean float64
 	latencyAt          time.Duration
 	// lastFinishAt is when a request last ended.
 	lastFinishAt time.Duration
 	// probedAt is when the target was last probed.
 	probedAt time.Duration
-	// consecutiveFailures counts failed requests in a row.
+	// consecutiveFailures counts failed requests since the last success.
 	consecutiveFailures int
-	// slowSince is when the target began to look like a straggler; negative means that it does not.
+	// slowSince is when the latency first exceeded the straggler threshold; negative means that it does not exceed it.
 	slowSince time.Duration
-	// reportedLoad is the load that others put on the target, as its last believed report said.
+	// reportedLoad is the number of requests of other hosts on the target by its last accepted load report.
 	reportedLoad float64
 	reportedAt   time.Duration
-	// peerInFlight is the sum of in-flight counts that other entry hosts pushed.
+	// peerInFlight is the sum of the in-flight counts that other entry hosts sent.
 	peerInFlight   float64
 	peerInFlightAt time.Duration
-	// drainConfirmed is set once the target's report address itself has said that it drains.
+	// drainConfirmed is set once a probe of the target's report path has confirmed that the target is draining.
 	drainConfirmed bool
-	// distrustReportsUntil is when reports are believed again after one that contradicted own counts.
+	// distrustReportsUntil is when load reports are accepted again after one that contradicted this host's count.
 	distrustReportsUntil time.Duration
 }
 
-// Horizons of the latency means and of outside knowledge.
+// Time constants of the exponential decay of the latency means and of load reports, and the time for which reports are
+// ignored after one that contradicted this host's count.
 const (
 	fastTimeConstant   = 25 * time.Millisecond
 	slowTimeConstant   = 2 * time.Second
@@ -86,24 +92,26 @@
 	reportDistrustTime = 10 * time.Second
 )
 
-// Weights of the latency estimate.
+// Parameters of the latency estimate.
 const (
-	// fastGain and slowGain are the least weights of one new latency in the two means.
+	// fastGain and slowGain are the minimum weights of one new latency in the two means.
 	fastGain = 0.3
 	slowGain = 0.02
-	// fastShare is how far the estimate follows the fast mean while that is new.
+	// fastShare is how far the estimate follows the fast mean while that is recent.
 	fastShare = 0.5
-	// overdueRatio is the age of a request in flight, in expected latencies, from which it makes the target look slow.
+	// overdueRatio is the age of a request in flight, as a multiple of the expected latency, beyond which it raises the
+	// estimate; overdueWeight is how much of the excess age is added.
 	overdueRatio  = 1.2
 	overdueWeight = 0.3
-	// missingAfter is how many answers may be due before a target looks slow, and silenceWeight how much each further one adds.
+	// missingAfter is how many responses may be due before they raise the estimate; missingWeight is the relative
+	// increase per further one.
 	missingAfter  = 0.5
 	missingWeight = 0.2
-	// minResidual is the least part of a run that is taken to be left.
+	// minResidual is the minimum remaining time of a request in flight, as a share of the expected latency.
 	minResidual = 0.25
 )
 
-// decay returns how much knowledge of an age still counts, from 1 down to 0.
+// decay returns the weight of a measurement of the given age, from 1 when it is new down to 0.
 func decay(age, timeConstant time.Duration) float64 {
 	if age <= 0 {
 		return 1
@@ -114,7 +122,7 @@
 	return math.Exp(-float64(age) / float64(timeConstant))
 }
 
-// recordLatency takes in one latency in seconds.
+// recordLatency adds one latency in seconds to the means.
 func (t *target) recordLatency(now time.Duration, latency float64) {
 	if t.slowMean == 0 {
 		t.fastMean, t.slowMean, t.latencyAt = latency, latency, now
@@ -126,7 +134,8 @@
 	t.latencyAt = now
 }
 
-// estimateLatency returns the latency in seconds to expect now; usual is the service's own.
+// estimateLatency returns the latency in seconds to expect of the target now. MeanLatency is that of the service, which
+// the estimate returns to as the target's own measurements age.
 func (t *target) estimateLatency(now time.Duration, meanLatency float64) float64 {
 	if t.slowMean == 0 {
 		return meanLatency
@@ -137,8 +146,9 @@
 	return max(expected, t.overdueLatency(now, expected)) * t.missingResponseFactor(now, meanLatency)
 }
 
-// missingResponseFactor returns a factor of 1 or more: it grows with the answers that were due since the last one and have not come.
-// It shows a neighbour's noise sooner than any single request that is late.
+// missingResponseFactor returns a factor of 1 or more that grows with the number of responses that are due since the last
+// one but have not arrived. It detects a slowdown of the whole target, such as by a noisy neighbour on its machine, before
+// any single request is overdue.
 func (t *target) missingResponseFactor(now time.Duration, meanLatency float64) float64 {
 	due := 0.0
 	for _, start := range t.starts {
@@ -147,7 +157,7 @@
 	return 1 + missingWeight*max(0, due/meanLatency-missingAfter)
 }
 
-// overdueLatency returns a latency in seconds that requests still in flight make plausible.
+// overdueLatency returns the expected latency in seconds, raised by the requests in flight that exceed it.
 func (t *target) overdueLatency(now time.Duration, expected float64) float64 {
 	var late float64
 	for _, start := range t.starts {
@@ -158,7 +168,7 @@
 	return expected + late
 }
 
-// timeUntilSlotFree returns the time in seconds until the oldest request in flight should end.
+// timeUntilSlotFree returns the expected time in seconds until the oldest request in flight ends.
 func (t *target) timeUntilSlotFree(now time.Duration, estimate float64) float64 {
 	oldest := now
 	for _, start := range t.starts {
@@ -167,14 +177,14 @@
 	return max(estimate*minResidual, estimate-(now-oldest).Seconds())
 }
 
-// load returns own and others' requests on the target.
+// load returns the estimated number of requests on the target, of this host and of others.
 func (t *target) load(now time.Duration, meanLatency float64) float64 {
 	foreign := t.reportedLoad * decay(now-t.reportedAt, reportTimeConstant)
 	peers := t.peerInFlight * decay(now-t.peerInFlightAt, peerTimeConstant(meanLatency))
 	return float64(len(t.starts)) + max(foreign, peers)
 }
 
-// inFlightLimit returns how many own requests the target may have in flight.
+// inFlightLimit returns how many requests this host may have in flight on the target.
 func (t *target) inFlightLimit(now time.Duration, meanLatency float64, overcommit int) int {
 	switch t.state {
 	case Ejected, Draining, Absent:
@@ -189,7 +199,8 @@
 	return t.spec.Slots + t.pipelineDepth(meanLatency)
 }
 
-// pipelineDepth returns how many requests beyond the slots keep them busy while answers travel.
+// pipelineDepth returns how many requests beyond its slots keep the target busy while requests and responses are on the
+// network.
 func (t *target) pipelineDepth(meanLatency float64) int {
 	roundTrip := t.spec.RoundTrip.Seconds()
 	if roundTrip <= 0 || meanLatency <= roundTrip {
@@ -209,7 +220,8 @@
 	}
 }
 
-// peerTimeConstant returns how long other entry hosts' counts are worth something: about as long as a request takes.
+// peerTimeConstant returns the time constant of the decay of other entry hosts' in-flight counts. It is the mean latency,
+// because the counted requests end after about that time.
 func peerTimeConstant(meanLatency float64) time.Duration {
 	return max(time.Millisecond, time.Duration(meanLatency*float64(time.Second)))
 }
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -27,16 +27,16 @@
 const (
 	// failedAdmission means that admission refused.
 	failedAdmission failureKind = iota
-	// failedCancelledBeforeSend means that the context ended before the request was handed over.
-	failedCancelledBeforeSend
+	// failedCanceledBeforeSend means that the context ended before the request was handed over.
+	failedCanceledBeforeSend
 	// failedNotSent means that no byte reached the target.
 	failedNotSent
 	// failedRefused means that the target said that it did not run the request.
 	failedRefused
 	// failedConnectionBroke means that the request was handed over and no whole answer came.
 	failedConnectionBroke
-	// failedCancelledAfterSend means that the context ended after the request was handed over.
-	failedCancelledAfterSend
+	// failedCanceledAfterSend means that the context ended after the request was handed over.
+	failedCanceledAfterSend
 	// failedUnavailable means that the target answered with a gateway or availability error.
 	failedUnavailable
 )
@@ -58,7 +58,7 @@
 	case *admission.Refusal:
 		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
-	return nil, &failure{kind: failedCancelledBeforeSend}
+	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
 // exchange sends the request to the target that it is bound to and reads the answer.
@@ -119,7 +119,7 @@
 	switch {
 	case errorx.IsOfType(err, backend.ErrNotSent) && ctx.Err() != nil:
 		s.finish(a, now-started, route.Abandoned)
-		return &failure{kind: failedCancelledBeforeSend, target: a.Target}
+		return &failure{kind: failedCanceledBeforeSend, target: a.Target}
 	case errorx.IsOfType(err, backend.ErrFull):
 		s.finish(a, now-started, route.Refused)
 		return &failure{kind: failedNotSent, target: a.Target}
@@ -128,7 +128,7 @@
 		return &failure{kind: failedNotSent, target: a.Target}
 	case ctx.Err() != nil:
 		s.finish(a, now-started, route.Abandoned)
-		return &failure{kind: failedCancelledAfterSend, target: a.Target}
+		return &failure{kind: failedCanceledAfterSend, target: a.Target}
 	}
 	s.finish(a, now-started, s.classifyBreak(now, started, r, a.Target))
 	return &failure{kind: failedConnectionBroke, target: a.Target}
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -45,7 +45,7 @@
 	case *admission.Refusal:
 		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
-	return nil, &failure{kind: failedCancelledBeforeSend}
+	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
 // race sends a bound request and a second try beside it when the first is late.
@@ -83,7 +83,7 @@
 func (h *hedge) runSecond() {
 	defer close(h.done)
 	if h.service.queued() > 0 || !h.service.spendRetry() {
-		h.failure = &failure{kind: failedCancelledBeforeSend}
+		h.failure = &failure{kind: failedCanceledBeforeSend}
 		return
 	}
 	second := *h.request
@@ -97,7 +97,7 @@
 		return
 	}
 	_ = h.response.Body.Close()
-	h.failure = &failure{kind: failedCancelledAfterSend}
+	h.failure = &failure{kind: failedCanceledAfterSend}
 }
 
 // queued returns the number of requests that wait at the gate.
@@ -134,18 +134,18 @@
 		cancel()
 		return response
 	}
-	response.Body = &cancellingBody{response.Body, cancel}
+	response.Body = &cancelingBody{response.Body, cancel}
 	return response
 }
 
-// cancellingBody is a body whose end also ends its context.
-type cancellingBody struct {
+// cancelingBody is a body whose end also ends its context.
+type cancelingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (c *cancellingBody) Close() error {
+func (c *cancelingBody) Close() error {
 	defer c.cancel()
 	return c.ReadCloser.Close()
 }
--- a/internal/steering/run.go
+++ b/internal/steering/run.go
@@ -55,7 +55,7 @@
 		return r.Idempotent && r.replayable()
 	case failedUnavailable:
 		return r.replayable() && f.response.Header.Get(HeaderRetry) != RetryDone
-	case failedAdmission, failedCancelledBeforeSend, failedCancelledAfterSend:
+	case failedAdmission, failedCanceledBeforeSend, failedCanceledAfterSend:
 	}
 	return false
 }
@@ -73,14 +73,14 @@
 	switch f.kind {
 	case failedAdmission:
 		refusal.Reason, refusal.RetryAfter = string(f.refusal.Reason), f.refusal.RetryAfter
-	case failedCancelledBeforeSend:
+	case failedCanceledBeforeSend:
 		refusal.Reason = "DeadlinePassedInQueue"
 	case failedNotSent:
 		refusal.Reason = "BackendServerRefusedConnection"
 		refusal.RetryAfter = time.Second
 	case failedConnectionBroke:
 		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusBadGateway, claim.Unknown, "ConnectionBroke"
-	case failedCancelledAfterSend:
+	case failedCanceledAfterSend:
 		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusGatewayTimeout, claim.Unknown, "DeadlinePassed"
 	case failedRefused, failedUnavailable:
 	}
