--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -45,8 +45,8 @@
 	Failed
 	// Refused means that the target was not asked to run the request or responded that it did not run it.
 	Refused
-	// Abandoned means that this host or the caller cancelled the request. Its age is then only a lower bound of the
-	// target's latency, and it counts neither for nor against the target's health.
+	// Abandoned means that this host or the caller canceled the request. It is no evidence of the target's health, but
+	// its age counts as a latency if it is above the expected one.
 	Abandoned
 )
 
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// Drain stops sending new requests to a target. Requests in flight go on.
+// Drain stops sending new requests to a target. Requests in flight are not interrupted.
 func (r *Router) Drain(now time.Duration, i Index, cause Cause) {
 	if t := r.targets[i]; t.state != Draining {
 		r.setState(now, t, Draining, cause)
@@ -99,8 +99,8 @@
 	r.setState(now, t, Ejected, cause)
 }
 
-// mayEject reports whether one more target can be ejected. At least one target, and at least half of those that are
-// not draining, must stay eligible, so that a fault on the path to all targets does not empty the service.
+// mayEject reports whether one more target can be ejected: at least one target, and at least half of those that are not
+// draining, must stay eligible.
 func (r *Router) mayEject() bool {
 	eligible, total := 0, 0
 	for _, t := range r.targets {
@@ -167,7 +167,7 @@
 
 // ApplyProbe applies the draining flag that a probe of the target's report path returned. A target that is draining
 // because it said so in a response ramps up again only after a probe has first confirmed the draining and a later probe
-// has revoked it. A report path that has never confirmed the draining may be stale or wrong, so its word is ignored.
+// has revoked it. A report path that has never confirmed the draining may be stale or wrong, so it is ignored.
 func (r *Router) ApplyProbe(now time.Duration, i Index, draining bool) {
 	t := r.targets[i]
 	switch {
@@ -179,7 +179,7 @@
 	}
 }
 
-// Stable reports whether no target is ramping up, ejected or waiting to be removed, so that Tick has no timer to run.
+// Stable reports whether no target is ramping up, ejected or waiting to be removed. Tick then has no timer to run.
 func (r *Router) Stable() bool {
 	return !slices.ContainsFunc(r.targets, func(t *target) bool {
 		return t.state == Ramping || t.state == Ejected || t.stateCause == CauseWithdrawn
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -6,9 +6,10 @@
 
 // Parameters of a target's score, which is its expected time to a response.
 const (
-	// maxScoreRatio is the maximum score of a target, as a multiple of the service's mean latency. Beyond it the request
-	// is better queued until a faster target has a free slot.
-	maxScoreRatio  = 2.0
+	// maxScoreRatio is by how many mean latencies of the service a target's score may exceed the expected wait in the
+	// queue. Beyond it the request is better queued until a faster target has a free slot.
+	maxScoreRatio = 2.0
+	// loadWeight is the relative increase of the score at full load, tieBreakWeight that by the random part.
 	loadWeight     = 0.1
 	tieBreakWeight = 0.02
 	// defaultLatency is the latency in seconds that is assumed before any was measured.
@@ -50,8 +51,8 @@
 	return best
 }
 
-// backlogOvercommit returns how many requests beyond its limit a target may hold while requests are queued: a slot that
-// is idle while a response is on the network then costs more than a short wait at the target.
+// backlogOvercommit returns how many requests beyond its limit a target may hold while requests are queued: a slot
+// that is idle while a response is on the network then costs more than a short wait at the target.
 func (r *Router) backlogOvercommit(queued int) int {
 	if queued == 0 {
 		return 0
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Index identifies a target of a Router. It is valid until the next call of SetTargets or Tick, which may remove targets.
+// Index identifies a target of a Router. It is valid until the next call of SetTargets or Tick, which may remove
+// targets.
 type Index int
 
 // NoTarget is the Index that stands for no target.
@@ -28,7 +29,7 @@
 	config  Config
 	targets []*target
 	byName  map[string]Index
-	// meanLatency is the service's moving mean latency in seconds, with outliers clipped; 0 means that none was measured.
+	// meanLatency is the service's moving mean latency in seconds, with outliers clipped; 0 means none was measured.
 	meanLatency float64
 	changes     []StateChange
 }
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -41,7 +41,8 @@
 
 // Spec describes a target: its name and slots come from the configuration, its round-trip time is measured.
 type Spec struct {
-	Name  string
+	Name string
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
 	// RoundTrip is the network's share of a request's latency.
 	RoundTrip time.Duration
@@ -69,7 +70,7 @@
 	probedAt time.Duration
 	// consecutiveFailures counts failed requests since the last success.
 	consecutiveFailures int
-	// slowSince is when the latency first exceeded the straggler threshold; negative means that it does not exceed it.
+	// slowSince is when the latency first exceeded the straggler threshold; negative means that it does not.
 	slowSince time.Duration
 	// reportedLoad is the number of requests of other hosts on the target by its last accepted load report.
 	reportedLoad float64
@@ -134,8 +135,8 @@
 	t.latencyAt = now
 }
 
-// estimateLatency returns the latency in seconds to expect of the target now. MeanLatency is that of the service, which
-// the estimate returns to as the target's own measurements age.
+// estimateLatency returns the latency in seconds to expect of the target now. The estimate decays to the service's
+// meanLatency as the target's own measurements age.
 func (t *target) estimateLatency(now time.Duration, meanLatency float64) float64 {
 	if t.slowMean == 0 {
 		return meanLatency
@@ -146,9 +147,9 @@
 	return max(expected, t.overdueLatency(now, expected)) * t.missingResponseFactor(now, meanLatency)
 }
 
-// missingResponseFactor returns a factor of 1 or more that grows with the number of responses that are due since the last
-// one but have not arrived. It detects a slowdown of the whole target, such as by a noisy neighbour on its machine, before
-// any single request is overdue.
+// missingResponseFactor returns a factor of 1 or more that grows with the number of responses that have become due since
+// the last one arrived. It detects a slowdown of the whole target, as by a noisy neighbor on its machine, sooner than
+// any single overdue request does.
 func (t *target) missingResponseFactor(now time.Duration, meanLatency float64) float64 {
 	due := 0.0
 	for _, start := range t.starts {
@@ -220,8 +221,8 @@
 	}
 }
 
-// peerTimeConstant returns the time constant of the decay of other entry hosts' in-flight counts. It is the mean latency,
-// because the counted requests end after about that time.
+// peerTimeConstant returns the time constant of the decay of other entry hosts' in-flight counts. It is the service's
+// mean latency, because the counted requests end after about that time.
 func peerTimeConstant(meanLatency float64) time.Duration {
 	return max(time.Millisecond, time.Duration(meanLatency*float64(time.Second)))
 }
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -18,39 +18,40 @@
 	"github.com/joomcode/errorx"
 )
 
-// maxBufferedBytes is the largest answer that is read whole before its caller sees a byte, so that it can be tried again unseen.
+// maxBufferedBytes is the size of the largest response that is buffered completely before any of it is sent to the
+// caller, so that a request whose response breaks off can be retried without the caller noticing.
 const maxBufferedBytes = 64 << 10
 
-// failureKind says how an attempt failed, as far as a retry goes.
+// failureKind is how an attempt failed, as far as it matters for a retry.
 type failureKind int
 
 const (
-	// failedAdmission means that admission refused.
+	// failedAdmission means that admission control refused the request.
 	failedAdmission failureKind = iota
-	// failedCanceledBeforeSend means that the context ended before the request was handed over.
+	// failedCanceledBeforeSend means that the context ended before the request was sent.
 	failedCanceledBeforeSend
-	// failedNotSent means that no byte reached the target.
+	// failedNotSent means that no byte of the request was sent to the target.
 	failedNotSent
-	// failedRefused means that the target said that it did not run the request.
+	// failedRefused means that the target responded that it did not run the request.
 	failedRefused
-	// failedConnectionBroke means that the request was handed over and no whole answer came.
+	// failedConnectionBroke means that the request was sent but no complete response arrived.
 	failedConnectionBroke
-	// failedCanceledAfterSend means that the context ended after the request was handed over.
+	// failedCanceledAfterSend means that the context ended after the request was sent.
 	failedCanceledAfterSend
-	// failedUnavailable means that the target answered with a gateway or availability error.
+	// failedUnavailable means that the target responded with status 502, 503 or 504.
 	failedUnavailable
 )
 
-// failure is an attempt without a usable answer.
+// failure is the result of an attempt without a usable response.
 type failure struct {
 	kind    failureKind
 	target  string
 	refusal *admission.Refusal
-	// response is the target's own answer, when there was one.
+	// response is the target's own response, or nil if there was none.
 	response *Response
 }
 
-// attempt hands the request to one target, once.
+// attempt sends the request to one target, once.
 func (s *Service) attempt(ctx context.Context, r *Request, excluded string, try backend.Try) (*Response, *failure) {
 	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
@@ -61,7 +62,7 @@
 	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
-// exchange sends the request to the target that it is bound to and reads the answer.
+// exchange sends the request to the target that it is assigned to and reads the response.
 func (s *Service) exchange(ctx context.Context, r *Request, a *admission.Assignment, try backend.Try) (*Response, *failure) {
 	pool := s.pool(a.Target)
 	if pool == nil {
@@ -87,7 +88,7 @@
 	return s.readResponse(ctx, r, a, httpResponse, response, started)
 }
 
-// newTargetRequest builds the request that the target gets.
+// newTargetRequest returns the HTTP request to send to a target.
 func newTargetRequest(ctx context.Context, r *Request, address string) *http.Request {
 	request := (&http.Request{
 		Method: r.Method, Host: r.Host, Header: r.Header.Clone(), ContentLength: r.Length,
@@ -113,7 +114,7 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// connectionFailure ends an attempt whose connection could not be opened or broke.
+// connectionFailure finishes an attempt whose connection could not be opened or broke.
 func (s *Service) connectionFailure(ctx context.Context, r *Request, a *admission.Assignment, err error, started time.Duration) *failure {
 	now := s.dispatcher.config.Clock()
 	switch {
@@ -134,7 +135,8 @@
 	return &failure{kind: failedConnectionBroke, target: a.Target}
 }
 
-// classifyBreak decides whether a broken connection is held against the target or against the request.
+// classifyBreak decides whether a broken connection counts against the target or against the request. A request that
+// has broken the connections of several targets is put in quarantine, and the break does not count against the target.
 func (s *Service) classifyBreak(now, started time.Duration, r *Request, target string) route.Outcome {
 	if r.Fingerprint == 0 || !s.dispatcher.config.Quarantine.Broke(now, started, r.Fingerprint, target) {
 		return route.Failed
@@ -147,7 +149,8 @@
 	return route.Abandoned
 }
 
-// targetRefusal ends an attempt that the target refused under the rule.
+// targetRefusal finishes an attempt whose response has one of the rule's NotRunStatuses. A target that also closes the
+// connection is drained.
 func (s *Service) targetRefusal(a *admission.Assignment, httpResponse *http.Response, response *Response, latency time.Duration) *failure {
 	s.finish(a, latency, route.Refused)
 	s.bufferRefusal(response, httpResponse)
@@ -158,15 +161,15 @@
 	return &failure{kind: failedRefused, target: a.Target, response: response}
 }
 
-// bufferRefusal reads the start of a refusal's body, so that it can be passed on if no other target answers.
+// bufferRefusal buffers the start of a refusal's body, so that it can be sent to the caller if no other target responds.
 func (s *Service) bufferRefusal(response *Response, httpResponse *http.Response) {
 	content, _ := io.ReadAll(io.LimitReader(httpResponse.Body, maxBufferedBytes))
-	// A refusal is passed on as far as it was read.
+	// An incomplete refusal is used as far as it was read.
 	_ = httpResponse.Body.Close()
 	response.setBody(content)
 }
 
-// readLoadReport takes in the load that a target reports on its answers.
+// readLoadReport applies the load report in the header of a response.
 func (s *Service) readLoadReport(target string, httpResponse *http.Response) {
 	if httpResponse.Header.Get(HeaderDraining) == "true" {
 		s.applyReport(target, route.LoadReport{Draining: true})
@@ -179,7 +182,7 @@
 	}
 }
 
-// readResponse reads a small answer whole and leaves a large one to stream.
+// readResponse buffers a small response completely and leaves a large one or an event stream to be streamed.
 func (s *Service) readResponse(ctx context.Context, r *Request, a *admission.Assignment, httpResponse *http.Response, response *Response, started time.Duration) (*Response, *failure) {
 	finishRequest := func(outcome route.Outcome) { s.finish(a, s.dispatcher.config.Clock()-started, outcome) }
 	if httpResponse.ContentLength > maxBufferedBytes || httpResponse.Header.Get("Content-Type") == "text/event-stream" {
@@ -209,8 +212,8 @@
 	return response, nil
 }
 
-// readPrefix reads a body up to one byte more than is read whole.
-// A bodiless answer may name the length of a body that it does not have.
+// readPrefix reads a body up to one byte more than maxBufferedBytes, so that the caller sees whether it fits.
+// NoBody is set for responses without a body, whose Content-Length may be that of a body that is not sent.
 func readPrefix(httpResponse *http.Response, noBody bool) ([]byte, error) {
 	if httpResponse.ContentLength < 0 || noBody {
 		return io.ReadAll(io.LimitReader(httpResponse.Body, maxBufferedBytes+1))
@@ -219,14 +222,14 @@
 	if _, err := io.ReadFull(httpResponse.Body, content); err != nil {
 		return nil, err
 	}
-	// The end must be read too, or the connection cannot be used again.
+	// The connection can be reused only after the end of the body has been read.
 	if n, err := httpResponse.Body.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return content, nil
 }
 
-// setBody makes text the whole body of the answer.
+// setBody sets the complete body of the response.
 func (a *Response) setBody(content []byte) {
 	a.Body, a.Content, a.Length, a.Buffered = io.NopCloser(bytes.NewReader(content)), content, int64(len(content)), true
 }
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -1,4 +1,6 @@
-// Package steering runs requests on targets: it joins the decisions of route and admission with the connections of backend.
+// Package steering runs requests on the targets of a service. Package admission queues them, package route picks their
+// targets and package backend holds the connections; this package sends the requests, reads the responses, and retries
+// or hedges attempts as far as the request and the service's retry budget allow.
 package steering
 
 import (
@@ -15,20 +17,21 @@
 	"briarcroft/internal/route"
 )
 
-// Config sets up Steering.
+// Config configures a Dispatcher.
 type Config struct {
 	Records    *record.Book
 	Quarantine *claim.Quarantine
 	// Clock is the host's monotonic clock.
 	Clock func() time.Duration
-	Seed  uint64
-	// OnQuarantine is told of each request that was put in quarantine.
+	// Seed is the seed of the random numbers that break ties between targets.
+	Seed uint64
+	// OnQuarantine is called after each request that was put in quarantine.
 	OnQuarantine func()
-	// Dial opens connections to targets; nil means TCP.
+	// Dial opens connections to targets. If it is nil, TCP is used.
 	Dial backend.DialFunc
 }
 
-// Dispatcher holds the services of the note in force.
+// Dispatcher holds the services of the configuration in force and matches requests with them.
 type Dispatcher struct {
 	config  Config
 	mu      sync.Mutex
@@ -36,13 +39,13 @@
 	domains domains
 }
 
-// snapshot is one configuration with its running services; it is replaced whole.
+// snapshot is a configuration with its running services. It is never modified, only replaced.
 type snapshot struct {
 	configuration note.Configuration
 	services      map[string]*Service
 }
 
-// New returns Steering without services, and the function that closes its connections.
+// New returns a Dispatcher without services and a function that closes its connections.
 func New(c Config) (*Dispatcher, func()) {
 	s := &Dispatcher{config: c}
 	s.current.Store(&snapshot{services: map[string]*Service{}})
@@ -58,7 +61,7 @@
 // Configuration returns the configuration in force.
 func (d *Dispatcher) Configuration() note.Configuration { return d.current.Load().configuration }
 
-// Apply puts a configuration in force; one with a lower number is left out.
+// Apply puts a configuration in force. It ignores one whose number is not above the current one.
 func (d *Dispatcher) Apply(c note.Configuration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +87,7 @@
 	}
 }
 
-// Match returns the rule and the service for a request.
+// Match returns the rule and the service for a request, and whether both exist.
 func (d *Dispatcher) Match(host, path, method string) (note.Rule, *Service, bool) {
 	v := d.current.Load()
 	rule, found := v.configuration.Match(host, path, method)
@@ -95,10 +98,10 @@
 	return rule, service, service != nil
 }
 
-// Services returns the running services.
+// Services returns the running services by name. The map must not be modified.
 func (d *Dispatcher) Services() map[string]*Service { return d.current.Load().services }
 
-// Tick runs the timers of every service and reports whether any has requests.
+// Tick runs the timers of every service and reports whether any has requests queued or in flight.
 func (d *Dispatcher) Tick() bool {
 	busy := false
 	for _, service := range d.Services() {
@@ -109,13 +112,13 @@
 
 func (d *Dispatcher) noteNumber() int { return d.current.Load().configuration.Number }
 
-// domains numbers the callers' failure domains in the order in which they are first seen.
+// domains assigns indices to the callers' failure domains in the order in which they are first seen.
 type domains struct {
 	mu     sync.RWMutex
 	byName map[string]admission.Domain
 }
 
-// number returns the number of a failure domain; those beyond the table share the last.
+// number returns the index of a failure domain. Domains beyond the size of admission.CounterTable share the last index.
 func (d *domains) number(name string) admission.Domain {
 	d.mu.RLock()
 	n, found := d.byName[name]
@@ -138,7 +141,7 @@
 	return n
 }
 
-// names returns the failure domains by number.
+// names returns the names of the failure domains by index.
 func (d *domains) names() map[admission.Domain]string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -10,34 +10,37 @@
 	"briarcroft/internal/backend"
 )
 
-// Times of hedging.
+// Parameters of hedging.
 const (
-	// hedgeRatio is how many times the expected latency a try may take before a second one starts.
+	// hedgeRatio is the multiple of the service's mean latency after which a second attempt starts, but not before
+	// minHedgeDelay.
 	hedgeRatio    = 2.5
 	minHedgeDelay = 5 * time.Millisecond
-	// silentRatio and leastSilent say when a connection without an answer counts as silent.
+	// silentRatio is the multiple of the target's expected latency after which a connection without a response counts
+	// as unresponsive, but not before minSilentTime.
 	silentRatio   = 8
 	minSilentTime = 100 * time.Millisecond
-	// defaultHedgeDelay is the delay while no latency is known.
+	// defaultHedgeDelay is the delay of the second attempt while no latency has been measured.
 	defaultHedgeDelay = 100 * time.Millisecond
 )
 
-// hedge is a second try that starts when the first is late; whichever answers first wins and the other is cancelled.
+// hedge is the state of a request with a second attempt, which starts if the first has no response after the hedge delay.
+// The first response is used and the other attempt is canceled.
 type hedge struct {
 	service *Service
 	request *Request
 	ctx     context.Context
-	// cancelFirst ends the first try.
+	// cancelFirst cancels the first attempt.
 	cancelFirst context.CancelFunc
 	excluded    string
-	// winner is 0 until a try has answered, then 1 for the first and 2 for the second.
+	// winner is 0 until an attempt has a response, then 1 for the first attempt or 2 for the second.
 	winner   atomic.Int32
 	done     chan struct{}
 	response *Response
 	failure  *failure
 }
 
-// attemptHedged makes one attempt and a second one beside it when the answer is late.
+// attemptHedged makes one attempt, and a second one in parallel if the response is late.
 func (s *Service) attemptHedged(ctx context.Context, r *Request, excluded string) (*Response, *failure) {
 	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
@@ -48,7 +51,7 @@
 	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
-// race sends a bound request and a second try beside it when the first is late.
+// race sends an assigned request, and a second attempt in parallel if the first is late.
 func (s *Service) race(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
 	first, cancelFirst := context.WithCancel(ctx)
 	second, cancelSecond := context.WithCancel(ctx)
@@ -68,7 +71,7 @@
 	<-h.done
 	cancelFirst()
 	if response != nil {
-		// The second try answered first; its answer goes on.
+		// The second attempt had its response first; that response is used.
 		_ = response.Body.Close()
 	}
 	s.closeIdleIfSilent(failed, time.Since(start))
@@ -79,7 +82,7 @@
 	return nil, failed
 }
 
-// runSecond is the second try.
+// runSecond makes the second attempt, unless requests are queued or the retry budget is spent.
 func (h *hedge) runSecond() {
 	defer close(h.done)
 	if h.service.queued() > 0 || !h.service.spendRetry() {
@@ -100,14 +103,14 @@
 	h.failure = &failure{kind: failedCanceledAfterSend}
 }
 
-// queued returns the number of requests that wait at the gate.
+// queued returns the number of queued requests.
 func (s *Service) queued() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.admission.Queued()
 }
 
-// hedgeDelay returns how long a try may take before a second one starts.
+// hedgeDelay returns how long the first attempt may take before a second one starts.
 func (s *Service) hedgeDelay() time.Duration {
 	s.mu.Lock()
 	meanLatency := s.admission.Router().MeanLatency()
@@ -118,7 +121,8 @@
 	return max(minHedgeDelay, time.Duration(hedgeRatio*float64(meanLatency)))
 }
 
-// closeIdleIfSilent closes the idle connections to a target whose connection has been silent for too long.
+// closeIdleIfSilent closes the idle connections to a target that has sent no response for so long that they are probably
+// broken too.
 func (s *Service) closeIdleIfSilent(failed *failure, elapsed time.Duration) {
 	if failed == nil || failed.target == "" || elapsed < max(minSilentTime, silentRatio*s.expectedLatency(failed.target)) {
 		return
@@ -128,7 +132,7 @@
 	}
 }
 
-// cancelOnClose ties a try's context to the end of its answer.
+// cancelOnClose cancels an attempt's context when the body of its response is closed, or at once if there is none to read.
 func cancelOnClose(response *Response, cancel context.CancelFunc) *Response {
 	if response == nil || response.Buffered {
 		cancel()
@@ -138,7 +142,7 @@
 	return response
 }
 
-// cancelingBody is a body whose end also ends its context.
+// cancelingBody is a response body that cancels the context of its request when it is closed.
 type cancelingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
--- a/internal/steering/probe.go
+++ b/internal/steering/probe.go
@@ -7,14 +7,15 @@
 	"briarcroft/internal/route"
 )
 
-// Limits of probing: targets without news for probeIdle are probed, and each request earns a part of a probe.
+// Limits of probing. Targets without an observation for probeIdleTime are probed. Each request adds probePerRequest to
+// the service's probe credit, up to maxProbeCredit, and each probe takes 1 from it.
 const (
 	probeIdleTime   = time.Second
 	probePerRequest = 0.05
 	maxProbeCredit  = 4.0
 )
 
-// Probe is one measurement that would help: the report of a target of which little is known.
+// Probe is a request for a target's load report that is due.
 type Probe struct {
 	Address string
 	Path    string
@@ -23,7 +24,8 @@
 	target  string
 }
 
-// Probes returns the targets whose report would help now: those out of service and those that have been idle.
+// Probes returns the probes that are due: of targets that have had neither a response nor a probe for some time, as
+// idle, ejected and draining ones.
 func (d *Dispatcher) Probes() []Probe {
 	var list []Probe
 	for _, service := range d.Services() {
@@ -52,7 +54,7 @@
 	return list
 }
 
-// Apply takes in the answer to a probe.
+// Apply applies the load report and HTTP status that the target returned to the probe.
 func (p Probe) Apply(report route.LoadReport, status int) {
 	p.service.applyReport(p.target, report)
 	if status == http.StatusOK {
@@ -60,7 +62,7 @@
 	}
 }
 
-// applyProbe takes in what a target's report address says of its leaving.
+// applyProbe applies the draining flag that a target's report path returned.
 func (s *Service) applyProbe(target string, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +72,7 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// ForEachInFlight calls each with own requests in flight on the targets that have any.
+// ForEachInFlight calls each with the number of this host's requests in flight on every target that has any.
 func (s *Service) ForEachInFlight(each func(target string, inFlight int)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +87,7 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return s.name }
 
-// RequestCount returns how many requests the service has had here.
+// RequestCount returns how many requests the service has had on this host.
 func (s *Service) RequestCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/steering/request.go
+++ b/internal/steering/request.go
@@ -9,7 +9,7 @@
 	"briarcroft/internal/note"
 )
 
-// Header fields that briarcroft reads and writes.
+// Names of the header fields that briarcroft reads and writes.
 const (
 	HeaderOutcome        = "Briarcroft-Outcome"
 	HeaderReason         = "Briarcroft-Reason"
@@ -20,62 +20,62 @@
 	HeaderTarget         = "Briarcroft-Target"
 	HeaderLoad           = "Load-In-Flight"
 	HeaderDraining       = "Load-Draining"
-	// RetryDone is the value of HeaderRetry that ends the retries of all layers above.
+	// RetryDone is the value of HeaderRetry in a response that tells the layers above, up to the caller, not to retry.
 	RetryDone = "Done"
 )
 
-// Request is one request on its way to a target.
+// Request is a request to run on a target.
 type Request struct {
 	Method string
 	Host   string
 	URI    string
 	Header http.Header
-	// Body is the whole body, or nil when Stream holds it.
+	// Body is the complete body, or nil if the body is in Stream.
 	Body []byte
-	// Stream is a body that can be sent once only; Length is its size or -1.
+	// Stream is a body that can be sent only once. Length is its size, or -1 if unknown.
 	Stream io.Reader
 	Length int64
 	Rule   note.Rule
-	// Idempotent requests may be handed over again.
+	// Idempotent requests may be sent again although an earlier attempt may have run.
 	Idempotent bool
-	// Fingerprint is zero when the body was not read.
+	// Fingerprint identifies the content of the request for the quarantine. It is 0 if the body was not read.
 	Fingerprint uint64
 	Domain      string
 	Deadline    time.Time
-	// RetryAllowance is how many more tries this request and all that it causes may make.
+	// RetryAllowance is how many further attempts this request and the requests it causes may make.
 	RetryAllowance int
-	// Detached requests go on after their caller went away, to keep their answer for a resend.
+	// Detached requests continue after their caller has disconnected, so that the response can be stored for a resend.
 	Detached bool
 }
 
-// replayable reports whether the request can be handed over again.
+// replayable reports whether the body can be sent again.
 func (r *Request) replayable() bool { return r.Stream == nil }
 
-// Result is how a request ended: *Answer or *Refusal.
+// Result is the result of a request: *Response or *Refusal.
 type Result interface{ isResult() }
 
-// Response is a backend server's answer; Body must be closed.
+// Response is a target's response. Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the body's size, or -1 when it is not known.
+	// Length is the body's size, or -1 if unknown.
 	Length int64
-	// Buffered is set when the body has been read and checked already; Text then holds it beside Body.
+	// Buffered is set if the complete body has been read and its length checked; it is then also in Content.
 	Buffered bool
 	Content  []byte
 	Target   string
-	// Outcome is set when the answer is the backend's refusal.
+	// Outcome is set if the response is the target's refusal to run the request.
 	Outcome claim.Outcome
 }
 
-// Refusal is an answer of the entry host itself.
+// Refusal is an error response of the entry host itself.
 type Refusal struct {
 	Status     int
 	Outcome    claim.Outcome
 	Reason     string
 	RetryAfter time.Duration
-	// RetryDone is set when no layer above should try again.
+	// RetryDone is set if no layer above should retry.
 	RetryDone bool
 }
 
--- a/internal/steering/run.go
+++ b/internal/steering/run.go
@@ -10,10 +10,11 @@
 	"briarcroft/internal/claim"
 )
 
-// maxAttempts is the most targets that one request is handed to at this host.
+// maxAttempts is the maximum number of attempts per request on this host; hedges are not counted.
 const maxAttempts = 3
 
-// Run runs a request on a target of the service, with the retries and hedges that the request and the budget allow.
+// Run runs a request on a target of the service, with the retries and hedges that the request and the retry budget
+// allow. The result is a *Response, which may report an error of the target, or a *Refusal.
 func (s *Service) Run(ctx context.Context, r *Request) Result {
 	s.recordRequest()
 	excluded := ""
@@ -33,7 +34,7 @@
 	}
 }
 
-// attemptOnce makes one attempt, hedged when the request may run twice.
+// attemptOnce makes one attempt, with a hedge if the request may run more than once.
 func (s *Service) attemptOnce(ctx context.Context, r *Request, excluded string) (*Response, *failure) {
 	if r.Idempotent && r.replayable() && r.RetryAllowance > 0 {
 		return s.attemptHedged(ctx, r, excluded)
@@ -41,7 +42,7 @@
 	return s.attempt(ctx, r, excluded, backend.Try{Proven: !r.Idempotent})
 }
 
-// mayRetry reports whether handing the request over again is safe and of use.
+// mayRetry reports whether sending the request again is safe and may help.
 func mayRetry(ctx context.Context, r *Request, f *failure) bool {
 	if ctx.Err() != nil || r.RetryAllowance <= 0 {
 		return false
@@ -60,7 +61,7 @@
 	return false
 }
 
-// resultOf turns the last failure into what the caller gets; denied is set when a retry was of use but not allowed.
+// resultOf converts the last failure to the caller's result. Denied is set if a retry might have helped but was denied.
 func resultOf(ctx context.Context, r *Request, f *failure, denied bool) Result {
 	done := denied || r.RetryAllowance <= 0
 	if f.response != nil {
@@ -95,7 +96,7 @@
 	s.probeCredit = min(maxProbeCredit, s.probeCredit+probePerRequest)
 }
 
-// spendRetry spends one more try from the service's budget.
+// spendRetry spends one retry or hedge of the service's retry budget and reports whether it was allowed.
 func (s *Service) spendRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -12,7 +12,7 @@
 	"briarcroft/internal/route"
 )
 
-// dialTimeout is how long a backend server may take to accept a connection.
+// dialTimeout is how long a target may take to accept a connection.
 const dialTimeout = time.Second
 
 // Service runs the requests of one service on one entry host.
@@ -26,9 +26,9 @@
 	classes    map[string]admission.Class
 	spec       note.Service
 	overloaded bool
-	// requestCount counts the first tries.
+	// requestCount counts requests; retries and hedges are not included.
 	requestCount int64
-	// probeCredit is how many probes the requests so far have earned.
+	// probeCredit is the number of probes that may be sent now; each request adds probePerRequest to it.
 	probeCredit float64
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// apply takes the service's part of a configuration.
+// apply applies the service's part of a configuration.
 func (s *Service) apply(spec note.Service, c note.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	s.closeRemovedPools(s.admission.Router())
 }
 
-// openPool makes the pool of a target that is new or has moved to another address.
+// openPool opens the connection pool of a target that is new or changed, and closes its previous pool.
 func (s *Service) openPool(t note.Target) {
 	old := s.pools[t.Name]
 	if old != nil && old.target == t {
@@ -91,7 +91,8 @@
 	}
 }
 
-// admit waits at the gate; the verdict is *admission.Bound or *admission.Refused, or nil when the context ended first.
+// admit waits until the request is assigned or refused. It returns an *admission.Assignment or an *admission.Refusal,
+// or nil if the context ended first.
 func (s *Service) admit(ctx context.Context, r *Request, excluded string) admission.Decision {
 	now := s.dispatcher.config.Clock()
 	request := &admission.Request{
@@ -123,7 +124,7 @@
 	return request.Decision()
 }
 
-// finish ends a bound request.
+// finish ends an assigned request.
 func (s *Service) finish(a *admission.Assignment, latency time.Duration, outcome route.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,14 +132,14 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// pool returns the connections to a target, or nil when the note has withdrawn it meanwhile.
+// pool returns the connection pool of a target, or nil if the target has been withdrawn from the configuration.
 func (s *Service) pool(target string) *targetPool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pools[target]
 }
 
-// expectedLatency returns the latency to expect of a target.
+// expectedLatency returns the latency to expect of a target, or 0 if the target does not exist.
 func (s *Service) expectedLatency(target string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +149,7 @@
 	return 0
 }
 
-// applyReport takes in what a target says of itself.
+// applyReport applies the load that a target reported.
 func (s *Service) applyReport(target string, report route.LoadReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +177,7 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// Undrain lets a drained target have requests again.
+// Undrain lets a draining target ramp up again.
 func (s *Service) Undrain(target string, cause route.Cause) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +187,8 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// SetPeerInFlight takes in other entry hosts' requests in flight on those targets that are the service's own.
+// SetPeerInFlight sets the number of requests that other entry hosts have in flight on the named targets. It skips
+// targets that are not of this service.
 func (s *Service) SetPeerInFlight(targets []string, inFlight func(target string) int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +199,7 @@
 	}
 }
 
-// tick runs the timers and reports whether the service has requests.
+// tick runs the timers and reports whether the service has requests queued or in flight.
 func (s *Service) tick() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +220,7 @@
 	return busy
 }
 
-// closeRemovedPools closes the pools of targets that the router has forgotten.
+// closeRemovedPools closes the connection pools of targets that the router has removed.
 func (s *Service) closeRemovedPools(router *route.Router) {
 	for name, pool := range s.pools {
 		if router.Lookup(name) == route.NoTarget {
@@ -229,7 +231,7 @@
 	}
 }
 
-// recordOverload writes a record when an overload begins or ends.
+// recordOverload adds a record when an overload begins or ends.
 func (s *Service) recordOverload() {
 	overload := s.admission.Overloaded()
 	if overload == s.overloaded {
@@ -246,7 +248,7 @@
 	})
 }
 
-// recordStateChanges writes a record for each change of a target's state.
+// recordStateChanges adds a record for each state change of a target since the last call.
 func (s *Service) recordStateChanges(number int) {
 	for _, c := range s.admission.Router().PopChanges() {
 		s.dispatcher.config.Records.Add(record.Record{
--- a/internal/steering/status.go
+++ b/internal/steering/status.go
@@ -16,7 +16,7 @@
 	return names
 }
 
-// TargetStatus is what this host knows of a target.
+// TargetStatus is the status of a target as this host sees it.
 type TargetStatus struct {
 	Target      string
 	State       string
@@ -24,7 +24,8 @@
 	Connections int
 }
 
-// Status is what this host knows of a service.
+// Status is the status of a service on this host. Usual is its mean latency; Retries and Denied count the retries and
+// hedges that its budget allowed and denied.
 type Status struct {
 	Service string
 	Queued  int
@@ -35,7 +36,8 @@
 	Counts  []CountStatus
 }
 
-// CountStatus is a weighted count of one class and failure domain.
+// CountStatus is the request counts of one class and failure domain. Weighted is the sum of the admitted requests'
+// weights.
 type CountStatus struct {
 	Class    string
 	Domain   string
@@ -45,7 +47,7 @@
 	Weighted int64
 }
 
-// Status returns what this host knows now.
+// Status returns the current status of the service.
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -11,10 +11,11 @@
 	"briarcroft/internal/route"
 )
 
-// maxResumes is how often one answer may be taken up again.
+// maxResumes is the maximum number of times that one response is resumed.
 const maxResumes = 3
 
-// resumableBody is a large answer on its way through; it takes a cut answer up again by Range where the backend allows it.
+// resumableBody is the body of a response that is streamed to the caller. If the target breaks it off, it is resumed from
+// another target by a Range request, if the response allows that.
 type resumableBody struct {
 	service *Service
 	ctx     context.Context
@@ -22,7 +23,7 @@
 	body    io.ReadCloser
 	target  string
 	etag    string
-	// read and total count bytes; total is -1 when it is not known.
+	// read is the number of bytes read so far, total that of the body or -1 if unknown.
 	read, total   int64
 	resumes       int
 	finishRequest func(route.Outcome)
@@ -36,7 +37,7 @@
 	}
 }
 
-// resumableETag returns the strong ETag of an answer that can be taken up again, or nothing.
+// resumableETag returns the strong ETag of a response that can be resumed by a Range request, or an empty string.
 func resumableETag(r *Request, httpResponse *http.Response) string {
 	etag := httpResponse.Header.Get("ETag")
 	ranged := httpResponse.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
@@ -46,7 +47,7 @@
 	return etag
 }
 
-// Read implements io.Reader; a cut answer that cannot be taken up again ends with an error, never with io.EOF.
+// Read implements io.Reader. A truncated body that cannot be resumed ends with an error, never with io.EOF.
 func (b *resumableBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -65,11 +66,11 @@
 		return n, nil
 	}
 	b.finish(route.Failed)
-	b.err = backend.ErrBroken.New("backend server cut the answer after %d of %d bytes (%v); ask again", b.read, b.total, err)
+	b.err = backend.ErrBroken.New("response truncated by backend server after %d of %d bytes (%v); retry the request", b.read, b.total, err)
 	return n, b.err
 }
 
-// resume asks another target for the rest of the same representation.
+// resume requests the rest of the same representation from another target and reports whether it got it.
 func (b *resumableBody) resume() bool {
 	if b.etag == "" || b.total < 0 || b.ctx.Err() != nil || b.resumes >= maxResumes {
 		return false
@@ -91,7 +92,7 @@
 	same := response.Status == http.StatusPartialContent && response.Header.Get("ETag") == b.etag &&
 		strings.HasPrefix(response.Header.Get("Content-Range"), start) && strings.HasSuffix(response.Header.Get("Content-Range"), "/"+strconv.FormatInt(b.total, 10))
 	if !same {
-		// The other target holds another representation; nothing of it is used.
+		// The other target returned another representation or no range; its response must not be mixed in.
 		_ = response.Body.Close()
 		return false
 	}
@@ -99,9 +100,9 @@
 	return true
 }
 
-// finish gives the target's slot back, once.
+// finish frees the target's slot. Only the first call has an effect.
 func (b *resumableBody) finish(outcome route.Outcome) {
-	// The body's end is known already; Close only gives the connection back.
+	// The result of the body is decided already; Close only returns the connection to the pool.
 	_ = b.body.Close()
 	if b.finishRequest != nil {
 		b.finishRequest(outcome)
