--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -51,7 +51,8 @@
 // Waiting means that the request is in the queue.
 type Waiting struct{}
 
-// Assignment is the decision to send the request to a target now; the request holds one of its slots until it is finished.
+// Assignment is the decision to send the request to a target now. The request counts as in flight there until
+// Controller.Finish is called.
 type Assignment struct {
 	Target string
 	Index  route.Index
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -20,39 +20,39 @@
 
 // Bounds of overload, from the stated target.
 const (
-	leastGoodput    = 0.95
-	recoverWithin   = 2 * time.Second
-	highClassKept   = 0.95
-	overloadSeconds = 60
+	minGoodput           = 0.95
+	recoveryTime         = 2 * time.Second
+	minHighClassAnswered = 0.95
+	overloadSeconds      = 60
 )
 
 // overloadRun is an overload of two classes followed by normal load, with callers that may send again.
 type overloadRun struct {
 	*simulation
-	factor         float64
-	retry          bool
-	highIn, highOK int
-	goodIn         int
-	afterWorst     time.Duration
-	over, end      time.Duration
+	factor                    float64
+	callersRetry              bool
+	highOffered, highAnswered int
+	answeredInOverload        int
+	maxLatencyAfter           time.Duration
+	overloadEnd, end          time.Duration
 }
 
 func runOverload(factor float64, retry bool) *overloadRun {
-	o := &overloadRun{factor: factor, retry: retry, over: (2 + overloadSeconds) * time.Second, end: (2 + overloadSeconds + 8) * time.Second}
-	c := scenario{targets: 8, slots: 4, work: 10 * time.Millisecond, oneWay: time.Millisecond, callerWay: time.Millisecond, noise: true, deadline: 500 * time.Millisecond, seed: 5, length: o.end}
-	o.simulation = newSimulation(c, newGated(c, gatedConfig{homes: 1, overcommit: -1, reports: true}))
-	o.done = o.ended
-	o.after(0, o.feed)
+	o := &overloadRun{factor: factor, callersRetry: retry, overloadEnd: (2 + overloadSeconds) * time.Second, end: (2 + overloadSeconds + 8) * time.Second}
+	c := scenario{targets: 8, slots: 4, meanWork: 10 * time.Millisecond, oneWayDelay: time.Millisecond, callerDelay: time.Millisecond, noise: true, deadline: 500 * time.Millisecond, seed: 5, length: o.end}
+	o.simulation = newSimulation(c, newLateBinding(c, lateBindingConfig{homes: 1, overcommit: -1, reports: true}))
+	o.done = o.jobEnded
+	o.after(0, o.generateOverload)
 	for len(o.agenda) > 0 && o.agenda[0].at <= o.length {
 		o.advance()
 	}
 	return o
 }
 
-// feed offers a tenth of the capacity in the high class and the rest in the low one.
-func (o *overloadRun) feed() {
+// generateOverload offers a tenth of the capacity in the high class and the rest in the low one.
+func (o *overloadRun) generateOverload() {
 	use := 0.6
-	if o.now > warmUp && o.now < o.over {
+	if o.now > warmUp && o.now < o.overloadEnd {
 		use = o.factor
 	}
 	j := &job{}
@@ -60,25 +60,25 @@
 		j.class = 1
 	}
 	o.offer(j)
-	o.after(time.Duration(o.random.ExpFloat64()/(use*o.capacity())*float64(time.Second)), o.feed)
+	o.after(time.Duration(o.random.ExpFloat64()/(use*o.capacity())*float64(time.Second)), o.generateOverload)
 }
 
-// ended counts the end of a job; a refused one is sent again after a while, up to three times.
-func (o *overloadRun) ended(j *job, ok bool) {
-	inside := j.born > warmUp && j.born < o.over
+// jobEnded counts the end of a job; a refused one is sent again after a while, up to three times.
+func (o *overloadRun) jobEnded(j *job, ok bool) {
+	inside := j.offeredAt > warmUp && j.offeredAt < o.overloadEnd
 	if inside && j.class == 1 && j.tries == 0 {
-		o.highIn++
+		o.highOffered++
 		if ok {
-			o.highOK++
+			o.highAnswered++
 		}
 	}
-	if ok && o.now > warmUp && o.now < o.over {
-		o.goodIn++
+	if ok && o.now > warmUp && o.now < o.overloadEnd {
+		o.answeredInOverload++
 	}
-	if ok && o.now > o.over+recoverWithin {
-		o.afterWorst = max(o.afterWorst, o.now-j.born)
+	if ok && o.now > o.overloadEnd+recoveryTime {
+		o.maxLatencyAfter = max(o.maxLatencyAfter, o.now-j.offeredAt)
 	}
-	if !ok && o.retry && j.tries < 3 {
+	if !ok && o.callersRetry && j.tries < 3 {
 		again := &job{class: j.class, tries: j.tries + 1}
 		o.after(time.Duration(50+o.random.IntN(100))*time.Millisecond, func() { o.offer(again) })
 	}
@@ -94,19 +94,19 @@
 			t.Parallel()
 			is := is.NewRelaxed(t)
 			o := runOverload(c.factor, c.retry)
-			goodput := float64(o.goodIn) / (o.capacity() * overloadSeconds)
-			high := float64(o.highOK) / float64(o.highIn)
+			goodput := float64(o.answeredInOverload) / (o.capacity() * overloadSeconds)
+			high := float64(o.highAnswered) / float64(o.highOffered)
 			t.Logf("%.0fx for %d s, callers that retry %t: goodput %.3f of capacity, high class answered %.4f, slowest answer from %v after its end %v, refused %d",
-				c.factor, overloadSeconds, c.retry, goodput, high, recoverWithin, o.afterWorst, o.refused)
-			is.True(goodput >= leastGoodput)
-			is.True(high >= highClassKept)
-			is.True(o.afterWorst < 200*time.Millisecond) // normal latency again
+				c.factor, overloadSeconds, c.retry, goodput, high, recoveryTime, o.maxLatencyAfter, o.refused)
+			is.True(goodput >= minGoodput)
+			is.True(high >= minHighClassAnswered)
+			is.True(o.maxLatencyAfter < 200*time.Millisecond) // normal latency again
 		})
 	}
 }
 
-// TestGateKeepsItsPromises checks the gate against any order of arrivals, ends and times.
-func TestGateKeepsItsPromises(t *testing.T) {
+// TestControllerInvariants checks the gate against any order of arrivals, ends and times.
+func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(t, "limit")
 		targets := rapid.IntRange(1, 4).Draw(t, "targets")
@@ -116,45 +116,45 @@
 			specs = append(specs, route.Spec{Name: targetName(i), Slots: 2})
 		}
 		r.SetTargets(0, specs)
-		g := admission.New(admission.Config{Router: r, QueueLimit: limit})
+		c := admission.New(admission.Config{Router: r, QueueLimit: limit})
 		var all []*admission.Request
 		inFlight := map[*admission.Request]bool{}
 		now := time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
-				w := &admission.Request{
+				request := &admission.Request{
 					Class: admission.Class(rapid.IntRange(0, 2).Draw(t, "class")), Weight: rapid.IntRange(1, 4).Draw(t, "weight"),
 					Deadline: now + time.Duration(rapid.IntRange(1, 500).Draw(t, "deadline"))*time.Millisecond,
 				}
-				all = append(all, w)
-				g.Submit(now, w)
+				all = append(all, request)
+				c.Submit(now, request)
 			},
 			"end": func(t *rapid.T) {
-				for w := range inFlight {
-					b := w.Decision().(*admission.Assignment)
+				for request := range inFlight {
+					assignment := request.Decision().(*admission.Assignment)
 					outcome := route.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))
-					g.Finish(now, b, now-b.Start, outcome)
-					delete(inFlight, w)
-					w.ExcludedTarget = "ended"
+					c.Finish(now, assignment, now-assignment.Start, outcome)
+					delete(inFlight, request)
+					request.ExcludedTarget = "ended"
 					return
 				}
 			},
 			"abandon": func(t *rapid.T) {
 				if len(all) > 0 {
-					g.Cancel(all[rapid.IntRange(0, len(all)-1).Draw(t, "waiter")])
+					c.Cancel(all[rapid.IntRange(0, len(all)-1).Draw(t, "waiter")])
 				}
 			},
 			"tick": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(1, 100).Draw(t, "pass")) * time.Millisecond
-				g.Tick(now)
+				c.Tick(now)
 			},
 			"": func(t *rapid.T) {
-				if g.Queued() > limit {
-					t.Fatalf("%d wait, the limit is %d", g.Queued(), limit)
+				if c.Queued() > limit {
+					t.Fatalf("%d wait, the limit is %d", c.Queued(), limit)
 				}
-				for _, w := range all {
-					if _, bound := w.Decision().(*admission.Assignment); bound && w.ExcludedTarget != "ended" {
-						inFlight[w] = true
+				for _, request := range all {
+					if _, assigned := request.Decision().(*admission.Assignment); assigned && request.ExcludedTarget != "ended" {
+						inFlight[request] = true
 					}
 				}
 				sum := 0
@@ -179,19 +179,19 @@
 // TestDecisionBound holds a decision and a weighted count to no allocation.
 func TestDecisionBound(t *testing.T) {
 	is := is.New(t)
-	g, w := decision()
-	is.Equal(testing.AllocsPerRun(1000, func() { decide(g, w, 0) }), 0.0)
-	r := g.Router()
+	c, request := newDecisionFixture()
+	is.Equal(testing.AllocsPerRun(1000, func() { admitAndFinish(c, request, 0) }), 0.0)
+	r := c.Router()
 	is.Equal(testing.AllocsPerRun(1000, func() { r.Pick(0, 0, route.NoTarget) }), 0.0)
 	is.Equal(testing.AllocsPerRun(1000, func() {
-		count := g.Counters.At(w.Class, w.Domain)
+		count := c.Counters.At(request.Class, request.Domain)
 		count.Offered.Add(1)
-		count.Weighted.Add(int64(w.Weight))
+		count.Weighted.Add(int64(request.Weight))
 	}), 0.0)
 }
 
-// decision returns a gate with the targets of a planned service, and a waiter to decide on.
-func decision() (*admission.Controller, *admission.Request) {
+// newDecisionFixture returns a gate with the targets of a planned service, and a waiter to decide on.
+func newDecisionFixture() (*admission.Controller, *admission.Request) {
 	r := route.New(route.Config{Random: rand.New(rand.NewPCG(1, 1)), Overcommit: -1})
 	var specs []route.Spec
 	for i := range 20 {
@@ -201,37 +201,37 @@
 	return admission.New(admission.Config{Router: r, QueueLimit: 256}), &admission.Request{Weight: 2, Deadline: time.Hour}
 }
 
-func decide(g *admission.Controller, w *admission.Request, now time.Duration) {
-	g.Submit(now, w)
-	b := w.Decision().(*admission.Assignment)
-	g.Finish(now+10*time.Millisecond, b, 10*time.Millisecond, route.Succeeded)
+func admitAndFinish(c *admission.Controller, request *admission.Request, now time.Duration) {
+	c.Submit(now, request)
+	assignment := request.Decision().(*admission.Assignment)
+	c.Finish(now+10*time.Millisecond, assignment, 10*time.Millisecond, route.Succeeded)
 }
 
 func BenchmarkDecision(b *testing.B) {
-	g, w := decision()
+	c, request := newDecisionFixture()
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += time.Millisecond
-		decide(g, w, now)
+		admitAndFinish(c, request, now)
 	}
 }
 
 func BenchmarkPick(b *testing.B) {
-	g, w := decision()
-	decide(g, w, 0)
+	c, request := newDecisionFixture()
+	admitAndFinish(c, request, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Router().Pick(time.Second, 0, route.NoTarget)
+		c.Router().Pick(time.Second, 0, route.NoTarget)
 	}
 }
 
 func BenchmarkWeightedCount(b *testing.B) {
-	g, w := decision()
+	c, request := newDecisionFixture()
 	b.ReportAllocs()
 	for b.Loop() {
-		count := g.Counters.At(w.Class, w.Domain)
+		count := c.Counters.At(request.Class, request.Domain)
 		count.Offered.Add(1)
-		count.Weighted.Add(int64(w.Weight))
+		count.Weighted.Add(int64(request.Weight))
 	}
 }
--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -21,7 +21,8 @@
 	Weighted atomic.Int64
 }
 
-// CounterTable holds the Counters of every class and failure domain in a fixed array, so that counting allocates nothing.
+// CounterTable holds the Counters of every class and failure domain. It is a fixed array, so that counting allocates
+// nothing.
 type CounterTable struct {
 	counters [MaxClasses * MaxDomains]Counters
 }
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -12,59 +12,59 @@
 // entryHosts is how many hosts share the callers when nothing sends them to homes.
 const entryHosts = 13
 
-// early is a policy that binds each job to a target on arrival, from one of the entry hosts.
-type early struct {
-	choose    func(s *simulation, host *earlyHost) *fakeTarget
-	hosts     []*earlyHost
-	probed    int
-	perAnswer float64
-	owed      float64
+// earlyBinding is a policy that binds each job to a target on arrival, from one of the entry hosts.
+type earlyBinding struct {
+	choose           func(s *simulation, host *earlyHost) *fakeTarget
+	hosts            []*earlyHost
+	probesSent       int
+	probesPerRequest float64
+	probeCredit      float64
 }
 
 type earlyHost struct {
-	domain  int
-	next    int
-	flights []int
-	pool    []probe
+	domain    int
+	next      int
+	inFlight  []int
+	probePool []probeSample
 }
 
-type probe struct {
+type probeSample struct {
 	target   *fakeTarget
 	inFlight int
 	latency  float64
 	at       time.Duration
 }
 
-func newEarly(hosts, targets int, choose func(*simulation, *earlyHost) *fakeTarget) *early {
-	p := &early{choose: choose}
+func newEarlyBinding(hosts, targets int, choose func(*simulation, *earlyHost) *fakeTarget) *earlyBinding {
+	p := &earlyBinding{choose: choose}
 	for i := range hosts {
-		p.hosts = append(p.hosts, &earlyHost{domain: i % domains, next: i, flights: make([]int, targets)})
+		p.hosts = append(p.hosts, &earlyHost{domain: i % domains, next: i, inFlight: make([]int, targets)})
 	}
 	return p
 }
 
-func (p *early) arrive(s *simulation, j *job) {
+func (p *earlyBinding) requestArrived(s *simulation, j *job) {
 	j.sender = s.random.IntN(len(p.hosts))
 	host := p.hosts[j.sender]
 	t := p.choose(s, host)
-	host.flights[t.index]++
+	host.inFlight[t.index]++
 	s.send(j, t, host.domain)
-	p.owed += p.perAnswer
-	for ; p.owed >= 1; p.owed-- {
+	p.probeCredit += p.probesPerRequest
+	for ; p.probeCredit >= 1; p.probeCredit-- {
 		p.sendProbe(s, host)
 	}
 }
 
-func (p *early) answer(s *simulation, j *job) {
+func (p *earlyBinding) requestCompleted(s *simulation, j *job) {
 	host := p.hosts[j.sender]
-	s.after(s.trip(host.domain, j.target), func() {
-		host.flights[j.target.index]--
+	s.after(s.networkDelay(host.domain, j.target), func() {
+		host.inFlight[j.target.index]--
 		s.finish(j)
 	})
 }
 
-func (p *early) tick(*simulation) {}
-func (p *early) probes() int      { return p.probed }
+func (p *earlyBinding) tick(*simulation) {}
+func (p *earlyBinding) probeCount() int  { return p.probesSent }
 
 // probePoolSize and probeAge bound the pool of the asynchronous prober.
 const (
@@ -72,16 +72,16 @@
 	probeAge      = time.Second
 )
 
-func (p *early) sendProbe(s *simulation, host *earlyHost) {
-	p.probed++
+func (p *earlyBinding) sendProbe(s *simulation, host *earlyHost) {
+	p.probesSent++
 	t := s.targets[s.random.IntN(len(s.targets))]
-	trip := s.trip(host.domain, t)
+	trip := s.networkDelay(host.domain, t)
 	s.after(trip, func() {
-		sample := probe{t, len(t.running) + len(t.waiting), s.work.Seconds() / t.speed, s.now}
+		sample := probeSample{t, len(t.running) + len(t.waiting), s.meanWork.Seconds() / t.speed, s.now}
 		s.after(trip, func() {
-			host.pool = append(host.pool, sample)
-			if len(host.pool) > probePoolSize {
-				host.pool = host.pool[1:]
+			host.probePool = append(host.probePool, sample)
+			if len(host.probePool) > probePoolSize {
+				host.probePool = host.probePool[1:]
 			}
 		})
 	})
@@ -98,7 +98,7 @@
 
 func chooseTwo(s *simulation, h *earlyHost) *fakeTarget {
 	a, b := chooseRandom(s, h), chooseRandom(s, h)
-	if h.flights[b.index] < h.flights[a.index] {
+	if h.inFlight[b.index] < h.inFlight[a.index] {
 		return b
 	}
 	return a
@@ -107,7 +107,7 @@
 // chooseProbed takes the probed target with the least load and latency and uses the probe up.
 func chooseProbed(s *simulation, h *earlyHost) *fakeTarget {
 	best, bestScore := -1, math.Inf(1)
-	for i, sample := range h.pool {
+	for i, sample := range h.probePool {
 		if s.now-sample.at > probeAge {
 			continue
 		}
@@ -119,28 +119,28 @@
 	if best < 0 {
 		return chooseTwo(s, h)
 	}
-	t := h.pool[best].target
-	h.pool = append(h.pool[:best], h.pool[best+1:]...)
+	t := h.probePool[best].target
+	h.probePool = append(h.probePool[:best], h.probePool[best+1:]...)
 	return t
 }
 
-// ideal is one queue with instant knowledge of every slot and speed, and no travel between queue and target.
+// idealQueue is one queue with instant knowledge of every slot and speed, and no travel between queue and target.
 // With patience it leaves a slot idle that is more than patience times slower than usual while others are at work.
-type ideal struct {
-	patience float64
-	queue    []*job
+type idealQueue struct {
+	maxSlowdown float64
+	queue       []*job
 }
 
-func (p *ideal) arrive(s *simulation, j *job) {
+func (p *idealQueue) requestArrived(s *simulation, j *job) {
 	p.queue = append(p.queue, j)
 	p.dispatch(s)
 }
 
-func (p *ideal) dispatch(s *simulation) {
+func (p *idealQueue) dispatch(s *simulation) {
 	for len(p.queue) > 0 {
 		var best *fakeTarget
 		for _, t := range s.targets {
-			free := len(t.running) < t.slots && (p.patience == 0 || t.speed*p.patience >= 1)
+			free := len(t.running) < t.slots && (p.maxSlowdown == 0 || t.speed*p.maxSlowdown >= 1)
 			if free && (best == nil || t.speed > best.speed) {
 				best = t
 			}
@@ -155,186 +155,186 @@
 	}
 }
 
-func (p *ideal) answer(s *simulation, j *job) {
+func (p *idealQueue) requestCompleted(s *simulation, j *job) {
 	p.dispatch(s)
-	mean := (sameDomain + (domains-1)*s.oneWay) / domains
+	mean := (sameDomainDelay + (domains-1)*s.oneWayDelay) / domains
 	s.after(2*mean, func() { s.finish(j) })
 }
 
-func (p *ideal) tick(s *simulation) { p.dispatch(s) }
-func (p *ideal) probes() int        { return 0 }
-
-// gated is briarcroft's own policy: homes that bind late and exchange counts.
-type gated struct {
-	gates    []*gateHost
-	exchange time.Duration
-	last     time.Duration
-	reports  bool
-	counts   int
-	// hedge is how many times the usual latency a try may take before a second one starts; 0 for never.
-	hedge  float64
-	hedges int
+func (p *idealQueue) tick(s *simulation) { p.dispatch(s) }
+func (p *idealQueue) probeCount() int    { return 0 }
+
+// lateBinding is briarcroft's own policy: homes that bind late and exchange counts.
+type lateBinding struct {
+	hosts            []*homeHost
+	exchangeInterval time.Duration
+	lastExchange     time.Duration
+	reports          bool
+	countMessages    int
+	// hedgeRatio is how many times the usual latency a try may take before a second one starts; 0 for never.
+	hedgeRatio float64
+	hedges     int
 }
 
-type gateHost struct {
-	domain  int
-	gate    *admission.Controller
-	waiting []*job
-	budget  *route.RetryBudget
+type homeHost struct {
+	domain     int
+	controller *admission.Controller
+	waiting    []*job
+	budget     *route.RetryBudget
 }
 
-type gatedConfig struct {
-	homes      int
-	overcommit int
-	exchange   time.Duration
-	reports    bool
-	queueLimit int
-	hedge      float64
+type lateBindingConfig struct {
+	homes            int
+	overcommit       int
+	exchangeInterval time.Duration
+	reports          bool
+	queueLimit       int
+	hedgeRatio       float64
 }
 
-func newGated(c scenario, g gatedConfig) *gated {
-	p := &gated{exchange: g.exchange, reports: g.reports}
+func newLateBinding(c scenario, g lateBindingConfig) *lateBinding {
+	p := &lateBinding{exchangeInterval: g.exchangeInterval, reports: g.reports}
 	if c.idempotent {
-		p.hedge = g.hedge
+		p.hedgeRatio = g.hedgeRatio
 	}
 	for i := range g.homes {
 		r := route.New(route.Config{Random: rand.New(rand.NewPCG(c.seed, uint64(i))), Overcommit: g.overcommit})
-		h := &gateHost{domain: i % domains, budget: route.NewRetryBudget(route.RetryBudgetConfig{Ratio: hedgeBudget})}
+		h := &homeHost{domain: i % domains, budget: route.NewRetryBudget(route.RetryBudgetConfig{Ratio: hedgeBudgetRatio})}
 		var specs []route.Spec
 		for t := range c.targets {
-			trip := 2 * c.oneWay
+			trip := 2 * c.oneWayDelay
 			if t%domains == h.domain {
-				trip = 2 * sameDomain
+				trip = 2 * sameDomainDelay
 			}
 			specs = append(specs, route.Spec{Name: targetName(t), Slots: c.slots, RoundTrip: trip})
 		}
 		r.SetTargets(0, specs)
-		h.gate = admission.New(admission.Config{Router: r, QueueLimit: max(g.queueLimit, 256)})
-		p.gates = append(p.gates, h)
+		h.controller = admission.New(admission.Config{Router: r, QueueLimit: max(g.queueLimit, 256)})
+		p.hosts = append(p.hosts, h)
 	}
 	return p
 }
 
 func targetName(i int) string { return "target-" + string(rune('a'+i/26)) + string(rune('a'+i%26)) }
 
-func (p *gated) arrive(s *simulation, j *job) {
-	j.sender = s.random.IntN(len(p.gates))
-	h := p.gates[j.sender]
+func (p *lateBinding) requestArrived(s *simulation, j *job) {
+	j.sender = s.random.IntN(len(p.hosts))
+	h := p.hosts[j.sender]
 	deadline := s.deadline
 	if deadline == 0 {
 		deadline = 10 * time.Second
 	}
-	w := &admission.Request{Class: admission.Class(j.class), Weight: 1 + 3*j.class, Deadline: j.born + deadline}
-	j.data = w
+	request := &admission.Request{Class: admission.Class(j.class), Weight: 1 + 3*j.class, Deadline: j.offeredAt + deadline}
+	j.data = request
 	h.budget.RecordRequest()
 	h.waiting = append(h.waiting, j)
-	h.gate.Submit(s.now, w)
-	p.settle(s, h)
+	h.controller.Submit(s.now, request)
+	p.applyDecisions(s, h)
 }
 
-// hedgeBudget is the ratio of second tries to first ones, as notes set it by default.
-const hedgeBudget = 0.1
+// hedgeBudgetRatio is the ratio of second tries to first ones, as notes set it by default.
+const hedgeBudgetRatio = 0.1
 
-// armHedge starts a second try of a bound job when its answer is late, as far as the budget and the queue allow.
-func (p *gated) armHedge(s *simulation, h *gateHost, j *job) {
-	if p.hedge == 0 || j.twin != nil {
+// scheduleHedge starts a second try of a bound job when its answer is late, as far as the budget and the queue allow.
+func (p *lateBinding) scheduleHedge(s *simulation, h *homeHost, j *job) {
+	if p.hedgeRatio == 0 || j.otherAttempt != nil {
 		return
 	}
-	delay := time.Duration(p.hedge * float64(h.gate.Router().MeanLatency()))
+	delay := time.Duration(p.hedgeRatio * float64(h.controller.Router().MeanLatency()))
 	s.after(delay, func() {
-		if delay == 0 || j.done || h.gate.Queued() > 0 || !h.budget.TrySpend() {
+		if delay == 0 || j.done || h.controller.Queued() > 0 || !h.budget.TrySpend() {
 			return
 		}
 		p.hedges++
-		first := j.data.(*admission.Request)
-		twin := &job{born: j.born, remaining: j.work, work: j.work, sender: j.sender, twin: j}
-		j.twin = twin
-		w := &admission.Request{Class: first.Class, Weight: first.Weight, Deadline: first.Deadline, ExcludedTarget: targetName(j.target.index)}
-		twin.data = w
-		h.waiting = append(h.waiting, twin)
-		h.gate.Submit(s.now, w)
-		p.settle(s, h)
+		firstRequest := j.data.(*admission.Request)
+		second := &job{offeredAt: j.offeredAt, remaining: j.work, work: j.work, sender: j.sender, otherAttempt: j}
+		j.otherAttempt = second
+		request := &admission.Request{Class: firstRequest.Class, Weight: firstRequest.Weight, Deadline: firstRequest.Deadline, ExcludedTarget: targetName(j.target.index)}
+		second.data = request
+		h.waiting = append(h.waiting, second)
+		h.controller.Submit(s.now, request)
+		p.applyDecisions(s, h)
 	})
 }
 
-// cancelTwin ends the other try of a job that was answered.
-func (p *gated) cancelTwin(s *simulation, h *gateHost, j *job) {
+// cancelOtherAttempt ends the other try of a job that was answered.
+func (p *lateBinding) cancelOtherAttempt(s *simulation, h *homeHost, j *job) {
 	j.done = true
-	twin := j.twin
-	if twin == nil || twin.done {
+	other := j.otherAttempt
+	if other == nil || other.done {
 		return
 	}
-	twin.done = true
-	w := twin.data.(*admission.Request)
-	h.gate.Cancel(w)
-	if b, bound := w.Decision().(*admission.Assignment); bound {
-		h.gate.Finish(s.now, b, s.now-b.Start, route.Abandoned)
-		if twin.target != nil {
-			s.after(s.trip(h.domain, twin.target), func() { s.cancel(twin) })
+	other.done = true
+	request := other.data.(*admission.Request)
+	h.controller.Cancel(request)
+	if assignment, assigned := request.Decision().(*admission.Assignment); assigned {
+		h.controller.Finish(s.now, assignment, s.now-assignment.Start, route.Abandoned)
+		if other.target != nil {
+			s.after(s.networkDelay(h.domain, other.target), func() { s.cancel(other) })
 		}
 	}
 }
 
-// settle acts on the verdicts that the gate gave since the last time.
-func (p *gated) settle(s *simulation, h *gateHost) {
-	kept := h.waiting[:0]
+// applyDecisions acts on the verdicts that the gate gave since the last time.
+func (p *lateBinding) applyDecisions(s *simulation, h *homeHost) {
+	waiting := h.waiting[:0]
 	for _, j := range h.waiting {
 		if j.done {
 			continue
 		}
 		switch v := j.data.(*admission.Request).Decision().(type) {
 		case admission.Waiting:
-			kept = append(kept, j)
+			waiting = append(waiting, j)
 		case *admission.Assignment:
 			s.send(j, s.targets[v.Index], h.domain)
-			p.armHedge(s, h, j)
+			p.scheduleHedge(s, h, j)
 		case *admission.Refusal:
-			if j.twin == nil {
+			if j.otherAttempt == nil {
 				s.refuse(j)
 			}
 		}
 	}
-	h.waiting = kept
+	h.waiting = waiting
 }
 
-func (p *gated) answer(s *simulation, j *job) {
-	h := p.gates[j.sender]
+func (p *lateBinding) requestCompleted(s *simulation, j *job) {
+	h := p.hosts[j.sender]
 	reported := j.target.reported
-	s.after(s.trip(h.domain, j.target), func() {
+	s.after(s.networkDelay(h.domain, j.target), func() {
 		if j.done {
 			return
 		}
-		b := j.data.(*admission.Request).Decision().(*admission.Assignment)
-		h.gate.Finish(s.now, b, s.now-b.Start, route.Succeeded)
-		p.cancelTwin(s, h, j)
+		assignment := j.data.(*admission.Request).Decision().(*admission.Assignment)
+		h.controller.Finish(s.now, assignment, s.now-assignment.Start, route.Succeeded)
+		p.cancelOtherAttempt(s, h, j)
 		if p.reports {
-			h.gate.Router().ApplyReport(s.now, b.Index, route.LoadReport{InFlight: reported})
+			h.controller.Router().ApplyReport(s.now, assignment.Index, route.LoadReport{InFlight: reported})
 		}
 		s.finish(j)
-		p.settle(s, h)
+		p.applyDecisions(s, h)
 	})
 }
 
-func (p *gated) tick(s *simulation) {
-	for _, h := range p.gates {
-		h.gate.Tick(s.now)
-		p.settle(s, h)
+func (p *lateBinding) tick(s *simulation) {
+	for _, h := range p.hosts {
+		h.controller.Tick(s.now)
+		p.applyDecisions(s, h)
 	}
-	if p.exchange == 0 || s.now-p.last < p.exchange || len(p.gates) == 1 {
+	if p.exchangeInterval == 0 || s.now-p.lastExchange < p.exchangeInterval || len(p.hosts) == 1 {
 		return
 	}
-	p.last = s.now
+	p.lastExchange = s.now
 	for i := range s.targets {
 		sum := 0
-		for _, h := range p.gates {
-			sum += h.gate.Router().InFlight(route.Index(i))
+		for _, h := range p.hosts {
+			sum += h.controller.Router().InFlight(route.Index(i))
 		}
-		for _, h := range p.gates {
-			peers := sum - h.gate.Router().InFlight(route.Index(i))
-			s.after(s.oneWay, func() { h.gate.Router().SetPeerInFlight(s.now, route.Index(i), peers) })
+		for _, h := range p.hosts {
+			peers := sum - h.controller.Router().InFlight(route.Index(i))
+			s.after(s.oneWayDelay, func() { h.controller.Router().SetPeerInFlight(s.now, route.Index(i), peers) })
 		}
 	}
-	p.counts += len(p.gates) * (len(p.gates) - 1)
+	p.countMessages += len(p.hosts) * (len(p.hosts) - 1)
 }
 
-func (p *gated) probes() int { return 0 }
+func (p *lateBinding) probeCount() int { return 0 }
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -12,12 +12,12 @@
 
 // Bounds of the policy, from the stated target.
 const (
-	mostOfIdeal        = 1.15
-	mostProbes         = 0.05
-	boundUse           = 0.85
-	hedgeRatio         = 2.5 // as package steering hedges
-	probeMessageBytes  = 128
-	countsMessageBytes = 24
+	maxRatioToIdeal     = 1.15
+	maxProbesPerRequest = 0.05
+	boundUtilization    = 0.85
+	hedgeRatio          = 2.5 // as package steering hedges
+	probeMessageBytes   = 128
+	countsMessageBytes  = 24
 )
 
 type namedPolicy struct {
@@ -25,61 +25,61 @@
 	make func(c scenario) policy
 }
 
-func gatedBy(g gatedConfig) func(scenario) policy {
-	return func(c scenario) policy { return newGated(c, g) }
+func newLateBindingPolicy(g lateBindingConfig) func(scenario) policy {
+	return func(c scenario) policy { return newLateBinding(c, g) }
 }
 
-func chosen(choose func(*simulation, *earlyHost) *fakeTarget, perAnswer float64) func(scenario) policy {
+func newEarlyBindingPolicy(choose func(*simulation, *earlyHost) *fakeTarget, perAnswer float64) func(scenario) policy {
 	return func(c scenario) policy {
-		p := newEarly(entryHosts, c.targets, choose)
-		p.perAnswer = perAnswer
+		p := newEarlyBinding(entryHosts, c.targets, choose)
+		p.probesPerRequest = perAnswer
 		return p
 	}
 }
 
-// ours is the policy as the entry hosts run it.
-var ours = namedPolicy{"briarcroft", gatedBy(gatedConfig{homes: 1, overcommit: -1, reports: true, hedge: hedgeRatio})}
+// briarcroftPolicy is the policy as the entry hosts run it.
+var briarcroftPolicy = namedPolicy{"briarcroft", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: -1, reports: true, hedgeRatio: hedgeRatio})}
 
-// ideals are the two ways to run an ideal queue; the better one in each row is what ours is held against.
-var ideals = []namedPolicy{
-	{"ideal, any slot", func(scenario) policy { return &ideal{} }},
-	{"ideal, patient", func(scenario) policy { return &ideal{patience: 2.5} }},
+// idealPolicies are the two ways to run an ideal queue; the better one in each row is what ours is held against.
+var idealPolicies = []namedPolicy{
+	{"ideal, any slot", func(scenario) policy { return &idealQueue{} }},
+	{"ideal, patient", func(scenario) policy { return &idealQueue{maxSlowdown: 2.5} }},
 }
 
-// baselines are the usual policies.
-var baselines = []namedPolicy{
-	{"random", chosen(chooseRandom, 0)},
-	{"round robin", chosen(chooseRoundRobin, 0)},
-	{"two choices", chosen(chooseTwo, 0)},
-	{"probe pool", chosen(chooseProbed, 2)},
+// baselinePolicies are the usual policies.
+var baselinePolicies = []namedPolicy{
+	{"random", newEarlyBindingPolicy(chooseRandom, 0)},
+	{"round robin", newEarlyBindingPolicy(chooseRoundRobin, 0)},
+	{"two choices", newEarlyBindingPolicy(chooseTwo, 0)},
+	{"probe pool", newEarlyBindingPolicy(chooseProbed, 2)},
 }
 
 // variations are ways that were weighed against ours.
 var variations = []namedPolicy{
-	{"slots +0", gatedBy(gatedConfig{homes: 1, overcommit: 0, reports: true})},
-	{"slots +1", gatedBy(gatedConfig{homes: 1, overcommit: 1, reports: true})},
-	{"slots +2", gatedBy(gatedConfig{homes: 1, overcommit: 2, reports: true})},
-	{"no reports", gatedBy(gatedConfig{homes: 1, overcommit: -1})},
-	{"2 homes blind", gatedBy(gatedConfig{homes: 2, overcommit: -1, reports: true})},
-	{"2 homes 25ms", gatedBy(gatedConfig{homes: 2, overcommit: -1, exchange: 25 * time.Millisecond, reports: true})},
-	{"2 homes 100ms", gatedBy(gatedConfig{homes: 2, overcommit: -1, exchange: 100 * time.Millisecond, reports: true})},
-	{"3 homes blind", gatedBy(gatedConfig{homes: 3, overcommit: -1, reports: true})},
-	{"2 homes 10ms", gatedBy(gatedConfig{homes: 2, overcommit: -1, exchange: 10 * time.Millisecond, reports: true})},
-	{"3 homes 10ms", gatedBy(gatedConfig{homes: 3, overcommit: -1, exchange: 10 * time.Millisecond, reports: true})},
-	{"3 homes 25ms", gatedBy(gatedConfig{homes: 3, overcommit: -1, exchange: 25 * time.Millisecond, reports: true})},
-	{"3 homes 100ms", gatedBy(gatedConfig{homes: 3, overcommit: -1, exchange: 100 * time.Millisecond, reports: true})},
-	{"13 hosts 25ms", gatedBy(gatedConfig{homes: 13, overcommit: -1, exchange: 25 * time.Millisecond, reports: true})},
-	{"13 hosts blind", gatedBy(gatedConfig{homes: 13, overcommit: -1, reports: true})},
+	{"slots +0", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 0, reports: true})},
+	{"slots +1", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 1, reports: true})},
+	{"slots +2", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 2, reports: true})},
+	{"no reports", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: -1})},
+	{"2 homes blind", newLateBindingPolicy(lateBindingConfig{homes: 2, overcommit: -1, reports: true})},
+	{"2 homes 25ms", newLateBindingPolicy(lateBindingConfig{homes: 2, overcommit: -1, exchangeInterval: 25 * time.Millisecond, reports: true})},
+	{"2 homes 100ms", newLateBindingPolicy(lateBindingConfig{homes: 2, overcommit: -1, exchangeInterval: 100 * time.Millisecond, reports: true})},
+	{"3 homes blind", newLateBindingPolicy(lateBindingConfig{homes: 3, overcommit: -1, reports: true})},
+	{"2 homes 10ms", newLateBindingPolicy(lateBindingConfig{homes: 2, overcommit: -1, exchangeInterval: 10 * time.Millisecond, reports: true})},
+	{"3 homes 10ms", newLateBindingPolicy(lateBindingConfig{homes: 3, overcommit: -1, exchangeInterval: 10 * time.Millisecond, reports: true})},
+	{"3 homes 25ms", newLateBindingPolicy(lateBindingConfig{homes: 3, overcommit: -1, exchangeInterval: 25 * time.Millisecond, reports: true})},
+	{"3 homes 100ms", newLateBindingPolicy(lateBindingConfig{homes: 3, overcommit: -1, exchangeInterval: 100 * time.Millisecond, reports: true})},
+	{"13 hosts 25ms", newLateBindingPolicy(lateBindingConfig{homes: 13, overcommit: -1, exchangeInterval: 25 * time.Millisecond, reports: true})},
+	{"13 hosts blind", newLateBindingPolicy(lateBindingConfig{homes: 13, overcommit: -1, reports: true})},
 }
 
 // deployment is the size of one service; services is how many of them are run.
 type deployment struct {
-	name           string
-	targets, slots int
-	work, oneWay   time.Duration
-	callerWay      time.Duration
-	services       int
-	idempotent     bool
+	name                  string
+	targets, slots        int
+	meanWork, oneWayDelay time.Duration
+	callerDelay           time.Duration
+	services              int
+	idempotent            bool
 }
 
 // deployments are the services of the firms today, and those of the planned size.
@@ -93,8 +93,8 @@
 	{"planned 59 services", 20, 4, 75 * time.Millisecond, time.Millisecond, time.Millisecond, 59, false},
 }
 
-// measured is one row of the table.
-type measured struct {
+// measurement is one row of the table.
+type measurement struct {
 	p50, p99, p999 time.Duration
 	probes         float64
 	bytes          float64
@@ -103,23 +103,23 @@
 }
 
 // measure runs a policy on every service of a deployment with its own seed.
-func measure(d deployment, use, step float64, p namedPolicy) measured {
+func measure(d deployment, use, step float64, p namedPolicy) measurement {
 	merged := hdrhistogram.New(1, int64(time.Minute), 3)
-	var m measured
+	var m measurement
 	probes, counts := 0, 0
 	for i := range d.services {
 		c := scenario{
-			targets: d.targets, slots: d.slots, work: d.work, oneWay: d.oneWay, callerWay: d.callerWay, use: use, step: step,
-			noise: true, straggler: true, liar: true, idempotent: d.idempotent, length: 12 * time.Second, seed: uint64(i + 1),
+			targets: d.targets, slots: d.slots, meanWork: d.meanWork, oneWayDelay: d.oneWayDelay, callerDelay: d.callerDelay, utilization: use, stepUtilization: step,
+			noise: true, straggler: true, falseReporter: true, idempotent: d.idempotent, length: 12 * time.Second, seed: uint64(i + 1),
 		}
 		s := newSimulation(c, p.make(c))
 		s.run()
 		merged.Merge(s.latency)
 		m.answered += s.answered
 		m.refused += s.refused
-		probes += s.policy.probes()
-		if g, gated := s.policy.(*gated); gated {
-			counts += g.counts
+		probes += s.policy.probeCount()
+		if g, gated := s.policy.(*lateBinding); gated {
+			counts += g.countMessages
 		}
 	}
 	requests := float64(max(1, m.answered+m.refused))
@@ -131,19 +131,19 @@
 	return m
 }
 
-func (m measured) row(d deployment, load, policy string, best time.Duration) string {
+func (m measurement) row(d deployment, load, policy string, best time.Duration) string {
 	return fmt.Sprintf("%-20s %-9s %-16s %9.1f %9.1f %9.1f %7.2f %8.3f %7.1f %8d", d.name, load, policy,
 		float64(m.p50)/1e6, float64(m.p99)/1e6, float64(m.p999)/1e6, float64(m.p99)/float64(best), m.probes, m.bytes, m.refused)
 }
 
-const tableHead = "deployment           load      policy             p50 ms    p99 ms  p99.9 ms  /ideal   probes   bytes  refused"
+const tableHeader = "deployment           load      policy             p50 ms    p99 ms  p99.9 ms  /ideal   probes   bytes  refused"
 
-// full reports whether the whole table is wanted rather than the rows that the bounds need.
-func full() bool { return os.Getenv("BRIARCROFT_FULL") != "" }
+// fullTable reports whether the whole table is wanted rather than the rows that the bounds need.
+func fullTable() bool { return os.Getenv("BRIARCROFT_FULL") != "" }
 
 // TestPolicyTable holds the policy against an ideal queue and the usual policies.
 func TestPolicyTable(t *testing.T) {
-	t.Log(tableHead)
+	t.Log(tableHeader)
 	for _, d := range deployments {
 		checkDeployment(t, d)
 	}
@@ -154,7 +154,7 @@
 func TestPolicyStockTable(t *testing.T) {
 	for _, d := range deployments {
 		if d.name == "kiosques stock" {
-			d.callerWay = time.Millisecond
+			d.callerDelay = time.Millisecond
 			checkDeployment(t, d)
 		}
 	}
@@ -162,17 +162,17 @@
 
 // checkDeployment compares all policies under every load that is wanted.
 func checkDeployment(t *testing.T, d deployment) {
-	uses := []float64{boundUse}
-	if full() {
-		uses = []float64{0.5, 0.7, boundUse, 0.95}
+	uses := []float64{boundUtilization}
+	if fullTable() {
+		uses = []float64{0.5, 0.7, boundUtilization, 0.95}
 	}
-	if !full() && d.services > 3 {
+	if !fullTable() && d.services > 3 {
 		d.services = 6
 	}
 	for _, use := range uses {
 		t.Run(fmt.Sprintf("%s %.0f%%", d.name, use*100), func(t *testing.T) { checkRow(t, d, use, 0) })
 	}
-	if full() {
+	if fullTable() {
 		t.Run(d.name+" step", func(t *testing.T) { checkRow(t, d, 0.6, 1.1) })
 	}
 }
@@ -186,14 +186,14 @@
 	}
 	var best time.Duration
 	var lines []string
-	rows := map[string]measured{}
-	for _, p := range ideals {
+	rows := map[string]measurement{}
+	for _, p := range idealPolicies {
 		rows[p.name] = measure(d, use, step, p)
 		if best == 0 || rows[p.name].p99 < best {
 			best = rows[p.name].p99
 		}
 	}
-	for _, p := range append(append(baselines, ours), ideals...) {
+	for _, p := range append(append(baselinePolicies, briarcroftPolicy), idealPolicies...) {
 		m, done := rows[p.name]
 		if !done {
 			m = measure(d, use, step, p)
@@ -204,26 +204,26 @@
 	for _, line := range lines {
 		t.Log(line)
 	}
-	mine := rows[ours.name]
-	is.True(mine.probes <= mostProbes) // probes per request
-	if use == boundUse {
-		is.True(float64(mine.p99) <= mostOfIdeal*float64(best)) // p99 against the ideal queue
+	mine := rows[briarcroftPolicy.name]
+	is.True(mine.probes <= maxProbesPerRequest) // probes per request
+	if use == boundUtilization {
+		is.True(float64(mine.p99) <= maxRatioToIdeal*float64(best)) // p99 against the ideal queue
 	}
-	for _, p := range baselines {
+	for _, p := range baselinePolicies {
 		is.True(mine.p99 < rows[p.name].p99) // p99 against the usual policies
 	}
 }
 
 // TestVariations prints the ways that were weighed, under the load of the bound.
 func TestVariations(t *testing.T) {
-	if !full() {
+	if !fullTable() {
 		t.Skip("the ways weighed are printed by make bench")
 	}
-	t.Log(tableHead)
+	t.Log(tableHeader)
 	for _, d := range deployments[:6] {
-		for _, use := range []float64{boundUse, 0.95} {
-			best := min(measure(d, use, 0, ideals[0]).p99, measure(d, use, 0, ideals[1]).p99)
-			for _, p := range append([]namedPolicy{ours}, variations...) {
+		for _, use := range []float64{boundUtilization, 0.95} {
+			best := min(measure(d, use, 0, idealPolicies[0]).p99, measure(d, use, 0, idealPolicies[1]).p99)
+			for _, p := range append([]namedPolicy{briarcroftPolicy}, variations...) {
 				t.Log(measure(d, use, 0, p).row(d, fmt.Sprintf("%.0f%%", use*100), p.name, best))
 			}
 		}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// classQueue is the FIFO queue of one class. It is an intrusive list of the requests, so that queueing allocates nothing.
+// classQueue is the FIFO queue of one class. It is an intrusive list of the requests, so that queuing allocates
+// nothing.
 type classQueue struct {
 	head, tail *Request
 	size       int
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -13,73 +13,73 @@
 // scenario is one service under load, in virtual time.
 type scenario struct {
 	targets, slots int
-	work           time.Duration
-	oneWay         time.Duration
-	// callerWay is the travel between a caller and an entry host.
-	callerWay  time.Duration
-	use        float64
-	step       float64
-	noise      bool
-	straggler  bool
-	liar       bool
-	idempotent bool
-	length     time.Duration
-	deadline   time.Duration
-	seed       uint64
+	meanWork       time.Duration
+	oneWayDelay    time.Duration
+	// callerDelay is the travel between a caller and an entry host.
+	callerDelay     time.Duration
+	utilization     float64
+	stepUtilization float64
+	noise           bool
+	straggler       bool
+	falseReporter   bool
+	idempotent      bool
+	length          time.Duration
+	deadline        time.Duration
+	seed            uint64
 }
 
 const (
-	domains     = 3
-	warmUp      = 2 * time.Second
-	sameDomain  = 100 * time.Microsecond
-	quietTime   = 200 * time.Millisecond
-	noisyTime   = 20 * time.Millisecond
-	noisySpeed  = 1.0 / 3
-	slowSpeed   = 0.2
-	workSpread  = 0.5
-	reportLeast = 100 * time.Millisecond
-	reportMost  = 2 * time.Second
+	domains           = 3
+	warmUp            = 2 * time.Second
+	sameDomainDelay   = 100 * time.Microsecond
+	meanQuietTime     = 200 * time.Millisecond
+	meanNoisyTime     = 20 * time.Millisecond
+	noisySpeed        = 1.0 / 3
+	stragglerSpeed    = 0.2
+	workSigma         = 0.5
+	minReportInterval = 100 * time.Millisecond
+	maxReportInterval = 2 * time.Second
 )
 
 // job is one request on its way.
 type job struct {
-	born      time.Duration
+	offeredAt time.Duration
 	work      float64
 	remaining float64
 	target    *fakeTarget
-	resumed   time.Duration
+	resumedAt time.Duration
 	speed     float64
 	epoch     int
 	class     int
 	tries     int
 	sender    int
 	data      any
-	// twin is the other try of a hedged job; done is set once the job was answered or cancelled.
-	twin *job
-	done bool
+	// otherAttempt is the other try of a hedged job; done is set once the job was answered or cancelled.
+	otherAttempt *job
+	done         bool
 	// cancelled is set once the target was told to stop.
 	cancelled bool
 }
 
 // fakeTarget runs jobs in slots at a speed that changes, with a queue of its own behind them.
 type fakeTarget struct {
-	index    int
-	domain   int
-	slots    int
-	speed    float64
-	straggle bool
-	lies     bool
-	running  []*job
-	waiting  []*job
-	reported int
+	index       int
+	domain      int
+	slots       int
+	speed       float64
+	straggler   bool
+	reportsZero bool
+	running     []*job
+	waiting     []*job
+	reported    int
 }
 
 // policy decides where a job goes; each variant is one way of steering.
 type policy interface {
-	arrive(s *simulation, j *job)
-	answer(s *simulation, j *job)
+	requestArrived(s *simulation, j *job)
+	requestCompleted(s *simulation, j *job)
 	tick(s *simulation)
-	probes() int
+	probeCount() int
 }
 
 type event struct {
@@ -124,15 +124,15 @@
 	s := &simulation{scenario: c, random: rand.New(rand.NewPCG(c.seed, 7)), policy: p, latency: hdrhistogram.New(1, int64(time.Minute), 3)}
 	for i := range c.targets {
 		t := &fakeTarget{index: i, domain: i % domains, slots: c.slots, speed: 1}
-		t.straggle = c.straggler && i == 0
-		t.lies = c.liar && i == 1
-		if t.straggle {
-			t.speed = slowSpeed
+		t.straggler = c.straggler && i == 0
+		t.reportsZero = c.falseReporter && i == 1
+		if t.straggler {
+			t.speed = stragglerSpeed
 		}
 		s.targets = append(s.targets, t)
 		s.after(0, func() { s.report(t) })
-		if c.noise && !t.straggle {
-			s.after(s.exponential(quietTime), func() { s.disturb(t, noisySpeed) })
+		if c.noise && !t.straggler {
+			s.after(s.exponential(meanQuietTime), func() { s.setSpeed(t, noisySpeed) })
 		}
 	}
 	s.after(time.Millisecond, s.tick)
@@ -153,15 +153,15 @@
 	sum := 0.0
 	for _, t := range s.targets {
 		speed := 1.0
-		if t.straggle {
-			speed = slowSpeed
+		if t.straggler {
+			speed = stragglerSpeed
 		} else if s.noise {
-			share := float64(noisyTime) / float64(noisyTime+quietTime)
+			share := float64(meanNoisyTime) / float64(meanNoisyTime+meanQuietTime)
 			speed = 1 - share + share*noisySpeed
 		}
 		sum += speed * float64(t.slots)
 	}
-	return sum / s.work.Seconds()
+	return sum / s.meanWork.Seconds()
 }
 
 func (s *simulation) run() {
@@ -180,20 +180,20 @@
 
 // generate offers a Poisson stream; with a step the use changes in the middle third.
 func (s *simulation) generate() {
-	use := s.use
-	if s.step > 0 && s.now > s.length/3 && s.now < 2*s.length/3 {
-		use = s.step
+	use := s.utilization
+	if s.stepUtilization > 0 && s.now > s.length/3 && s.now < 2*s.length/3 {
+		use = s.stepUtilization
 	}
 	s.offer(&job{})
 	s.after(time.Duration(s.random.ExpFloat64()/(use*s.capacity())*float64(time.Second)), s.generate)
 }
 
 func (s *simulation) offer(j *job) {
-	j.born = s.now
-	j.work = s.work.Seconds() * math.Exp(workSpread*s.random.NormFloat64()-workSpread*workSpread/2)
+	j.offeredAt = s.now
+	j.work = s.meanWork.Seconds() * math.Exp(workSigma*s.random.NormFloat64()-workSigma*workSigma/2)
 	j.remaining = j.work
 	s.offered++
-	s.after(s.callerWay, func() { s.policy.arrive(s, j) })
+	s.after(s.callerDelay, func() { s.policy.requestArrived(s, j) })
 }
 
 func (s *simulation) tick() {
@@ -201,17 +201,17 @@
 	s.after(5*time.Millisecond, s.tick)
 }
 
-func (s *simulation) trip(domain int, t *fakeTarget) time.Duration {
+func (s *simulation) networkDelay(domain int, t *fakeTarget) time.Duration {
 	if domain == t.domain {
-		return sameDomain
+		return sameDomainDelay
 	}
-	return s.oneWay
+	return s.oneWayDelay
 }
 
 // send carries a job to a target.
 func (s *simulation) send(j *job, t *fakeTarget, domain int) {
 	j.target = t
-	s.after(s.trip(domain, t), func() { s.deliver(j) })
+	s.after(s.networkDelay(domain, t), func() { s.deliver(j) })
 }
 
 func (s *simulation) deliver(j *job) {
@@ -232,7 +232,7 @@
 }
 
 func (s *simulation) resume(j *job) {
-	j.resumed, j.speed = s.now, j.target.speed
+	j.resumedAt, j.speed = s.now, j.target.speed
 	j.epoch++
 	epoch := j.epoch
 	s.after(time.Duration(j.remaining/j.speed*float64(time.Second)), func() {
@@ -243,12 +243,12 @@
 }
 
 func (s *simulation) complete(j *job) {
-	s.vacate(j)
-	s.policy.answer(s, j)
+	s.freeSlot(j)
+	s.policy.requestCompleted(s, j)
 }
 
-// vacate frees a job's slot for the next one that waits at the target.
-func (s *simulation) vacate(j *job) {
+// freeSlot frees a job's slot for the next one that waits at the target.
+func (s *simulation) freeSlot(j *job) {
 	t := j.target
 	i := slices.Index(t.running, j)
 	if i < 0 {
@@ -270,18 +270,18 @@
 		j.target.waiting = slices.Delete(j.target.waiting, i, i+1)
 		return
 	}
-	s.vacate(j)
+	s.freeSlot(j)
 }
 
 // finish carries the answer to the caller.
 func (s *simulation) finish(j *job) {
-	took := s.now + s.callerWay - j.born
+	took := s.now + s.callerDelay - j.offeredAt
 	s.answered++
 	onTime := s.deadline == 0 || took <= s.deadline
 	if !onTime {
 		s.late++
 	}
-	if j.born >= warmUp {
+	if j.offeredAt >= warmUp {
 		_ = s.latency.RecordValue(int64(took))
 	}
 	if s.done != nil {
@@ -296,25 +296,25 @@
 	}
 }
 
-// disturb changes a target's speed in the middle of its jobs, as a noisy neighbour does.
-func (s *simulation) disturb(t *fakeTarget, speed float64) {
+// setSpeed changes a target's speed in the middle of its jobs, as a noisy neighbour does.
+func (s *simulation) setSpeed(t *fakeTarget, speed float64) {
 	t.speed = speed
 	for _, j := range t.running {
-		j.remaining = max(0, j.remaining-(s.now-j.resumed).Seconds()*j.speed)
+		j.remaining = max(0, j.remaining-(s.now-j.resumedAt).Seconds()*j.speed)
 		s.resume(j)
 	}
 	if speed < 1 {
-		s.after(s.exponential(noisyTime), func() { s.disturb(t, 1) })
+		s.after(s.exponential(meanNoisyTime), func() { s.setSpeed(t, 1) })
 		return
 	}
-	s.after(s.exponential(quietTime), func() { s.disturb(t, noisySpeed) })
+	s.after(s.exponential(meanQuietTime), func() { s.setSpeed(t, noisySpeed) })
 }
 
 // report renews the load that the target reports until the next time.
 func (s *simulation) report(t *fakeTarget) {
 	t.reported = len(t.running) + len(t.waiting)
-	if t.lies {
+	if t.reportsZero {
 		t.reported = 0
 	}
-	s.after(reportLeast+time.Duration(s.random.Int64N(int64(reportMost-reportLeast))), func() { s.report(t) })
+	s.after(minReportInterval+time.Duration(s.random.Int64N(int64(maxReportInterval-minReportInterval))), func() { s.report(t) })
 }
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -19,18 +19,18 @@
 	return r
 }
 
-// one runs a request on a target from start to end.
-func one(r *Router, now time.Duration, i Index, took time.Duration, outcome Outcome) {
+// runRequest runs a request on a target from start to end.
+func runRequest(r *Router, now time.Duration, i Index, took time.Duration, outcome Outcome) {
 	r.Start(now, i)
 	r.Finish(now+took, i, now, took, outcome)
 }
 
-func TestEjectionLeavesAFloor(t *testing.T) {
+func TestEjectionKeepsHalfOfTargets(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(5)
 	for round := range 4 {
 		for i := range 5 {
-			one(r, time.Duration(round)*time.Millisecond, Index(i), time.Millisecond, Failed)
+			runRequest(r, time.Duration(round)*time.Millisecond, Index(i), time.Millisecond, Failed)
 		}
 	}
 	is.Equal(len(r.Eligible(nil)), 3) // at least half of five
@@ -40,14 +40,14 @@
 	is.Equal(len(r.Eligible(nil)), 5) // all are back
 }
 
-func TestEjectionGrowsAndRampStartsSlow(t *testing.T) {
+func TestEjectionDoublesAndRampStartsWithOneRequest(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(4)
 	now := time.Duration(0)
 	var lengths []time.Duration
 	for range 3 {
 		for range failuresToEject {
-			one(r, now, 0, 0, Failed)
+			runRequest(r, now, 0, 0, Failed)
 		}
 		is.Equal(r.State(0), Ejected)
 		from := now
@@ -65,7 +65,7 @@
 	is.Equal(r.State(0), Live)
 }
 
-func TestStragglerIsEjectedAndExplained(t *testing.T) {
+func TestStragglerIsEjectedWithEvidence(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(4)
 	r.PopChanges()
@@ -75,7 +75,7 @@
 			if i == 0 {
 				took = 100 * time.Millisecond
 			}
-			one(r, now, Index(i), took, Succeeded)
+			runRequest(r, now, Index(i), took, Succeeded)
 		}
 		r.Tick(now)
 	}
@@ -86,7 +86,7 @@
 	is.True(changes[0].Latency > 3*changes[0].MeanLatency)
 }
 
-func TestLyingReportIsNotBelieved(t *testing.T) {
+func TestContradictoryReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
 	is.True(r.ApplyReport(0, 0, LoadReport{InFlight: 3}))
@@ -100,7 +100,7 @@
 	is.True(r.ApplyReport(11*time.Second, 0, LoadReport{InFlight: 4}))
 }
 
-func TestDrainedTargetReturnsOnlyByItsWitness(t *testing.T) {
+func TestDrainedTargetReturnsOnlyAfterProbeConfirmedDraining(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
 	r.Drain(0, 0, CauseReportedDraining)
@@ -111,7 +111,7 @@
 	is.Equal(r.State(0), Ramping)
 }
 
-func TestWithdrawnTargetIsForgottenWhenIdle(t *testing.T) {
+func TestWithdrawnTargetIsRemovedWhenIdle(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
 	r.Start(0, 0)
@@ -124,7 +124,7 @@
 	is.Equal(r.Lookup("1"), Index(0))
 }
 
-func TestBudgetIsARatioOfFirstTries(t *testing.T) {
+func TestRetryBudgetIsARatioOfRequests(t *testing.T) {
 	is := is.New(t)
 	b := NewRetryBudget(RetryBudgetConfig{Ratio: 0.1})
 	for range 1000 {
@@ -136,9 +136,9 @@
 	is.Equal(b.Spent+b.Denied, int64(1000))
 }
 
-// TestFarTargetsAreASpare runs a service with targets in two regions: the far ones get work only when the near ones are
+// TestRemoteTargetsAreUsedOnlyAsFallback runs a service with targets in two regions: the far ones get work only when the near ones are
 // full or gone, and are not taken for stragglers.
-func TestFarTargetsAreASpare(t *testing.T) {
+func TestRemoteTargetsAreUsedOnlyAsFallback(t *testing.T) {
 	is := is.New(t)
 	const near, travel = 10 * time.Millisecond, 60 * time.Millisecond
 	r := New(Config{Random: rand.New(rand.NewPCG(1, 1)), Overcommit: -1})
@@ -154,7 +154,7 @@
 				far++
 				took += travel
 			}
-			one(r, now, i, took, Succeeded)
+			runRequest(r, now, i, took, Succeeded)
 			r.Tick(now)
 		}
 		return float64(far) / float64(rounds)
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -161,10 +161,11 @@
 	return &failure{kind: failedRefused, target: a.Target, response: response}
 }
 
-// bufferRefusal buffers the start of a refusal's body, so that it can be sent to the caller if no other target responds.
+// bufferRefusal buffers the start of the body of a refusal or error, so that it can be sent to the caller if no other
+// target responds.
 func (s *Service) bufferRefusal(response *Response, httpResponse *http.Response) {
 	content, _ := io.ReadAll(io.LimitReader(httpResponse.Body, maxBufferedBytes))
-	// An incomplete refusal is used as far as it was read.
+	// An incomplete body is used as far as it was read.
 	_ = httpResponse.Body.Close()
 	response.setBody(content)
 }
@@ -230,8 +231,8 @@
 }
 
 // setBody sets the complete body of the response.
-func (a *Response) setBody(content []byte) {
-	a.Body, a.Content, a.Length, a.Buffered = io.NopCloser(bytes.NewReader(content)), content, int64(len(content)), true
+func (r *Response) setBody(content []byte) {
+	r.Body, r.Content, r.Length, r.Buffered = io.NopCloser(bytes.NewReader(content)), content, int64(len(content)), true
 }
 
 func outcomeOf(err error) route.Outcome {
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -118,8 +118,8 @@
 	byName map[string]admission.Domain
 }
 
-// number returns the index of a failure domain. Domains beyond the size of admission.CounterTable share the last index.
-func (d *domains) number(name string) admission.Domain {
+// index returns the index of a failure domain. Domains beyond the size of admission.CounterTable share the last index.
+func (d *domains) index(name string) admission.Domain {
 	d.mu.RLock()
 	n, found := d.byName[name]
 	d.mu.RUnlock()
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -24,8 +24,8 @@
 	defaultHedgeDelay = 100 * time.Millisecond
 )
 
-// hedge is the state of a request with a second attempt, which starts if the first has no response after the hedge delay.
-// The first response is used and the other attempt is canceled.
+// hedge is the state of a request with a second attempt, which starts if the first has no response after the hedge
+// delay. Whichever response comes first is used, and the other attempt is canceled.
 type hedge struct {
 	service *Service
 	request *Request
@@ -121,8 +121,8 @@
 	return max(minHedgeDelay, time.Duration(hedgeRatio*float64(meanLatency)))
 }
 
-// closeIdleIfSilent closes the idle connections to a target that has sent no response for so long that they are probably
-// broken too.
+// closeIdleIfSilent closes the idle connections to a target that has sent no response for so long that they are
+// probably broken too.
 func (s *Service) closeIdleIfSilent(failed *failure, elapsed time.Duration) {
 	if failed == nil || failed.target == "" || elapsed < max(minSilentTime, silentRatio*s.expectedLatency(failed.target)) {
 		return
@@ -132,7 +132,8 @@
 	}
 }
 
-// cancelOnClose cancels an attempt's context when the body of its response is closed, or at once if there is none to read.
+// cancelOnClose cancels an attempt's context when the body of its response is closed, or at once if the body is already
+// buffered or there is no response.
 func cancelOnClose(response *Response, cancel context.CancelFunc) *Response {
 	if response == nil || response.Buffered {
 		cancel()
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -38,10 +38,10 @@
 	target note.Target
 }
 
-func newService(s *Dispatcher, spec note.Service) *Service {
+func newService(d *Dispatcher, spec note.Service) *Service {
 	return &Service{
-		name: spec.Name, dispatcher: s, pools: map[string]*targetPool{}, classes: map[string]admission.Class{},
-		admission: admission.New(admission.Config{Router: newRouter(s.config.Seed), QueueLimit: spec.QueueLimit}),
+		name: spec.Name, dispatcher: d, pools: map[string]*targetPool{}, classes: map[string]admission.Class{},
+		admission: admission.New(admission.Config{Router: newRouter(d.config.Seed), QueueLimit: spec.QueueLimit}),
 		budget:    route.NewRetryBudget(route.RetryBudgetConfig{Ratio: spec.RetryRatio}),
 	}
 }
@@ -96,7 +96,7 @@
 func (s *Service) admit(ctx context.Context, r *Request, excluded string) admission.Decision {
 	now := s.dispatcher.config.Clock()
 	request := &admission.Request{
-		Weight: r.Rule.Weight, Domain: s.dispatcher.domains.number(r.Domain),
+		Weight: r.Rule.Weight, Domain: s.dispatcher.domains.index(r.Domain),
 		Deadline: now + time.Until(r.Deadline), ExcludedTarget: excluded,
 	}
 	s.mu.Lock()
@@ -249,11 +249,11 @@
 }
 
 // recordStateChanges adds a record for each state change of a target since the last call.
-func (s *Service) recordStateChanges(number int) {
+func (s *Service) recordStateChanges(noteNumber int) {
 	for _, c := range s.admission.Router().PopChanges() {
 		s.dispatcher.config.Records.Add(record.Record{
 			Kind: record.TargetMoved, Service: s.name, Target: c.Target, From: c.From.String(), To: c.To.String(),
-			Cause: string(c.Cause), Note: number,
+			Cause: string(c.Cause), Note: noteNumber,
 			Evidence: record.Evidence{Failures: c.Failures, Latency: c.Latency, Usual: c.MeanLatency},
 		})
 	}
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -14,8 +14,8 @@
 // maxResumes is the maximum number of times that one response is resumed.
 const maxResumes = 3
 
-// resumableBody is the body of a response that is streamed to the caller. If the target breaks it off, it is resumed from
-// another target by a Range request, if the response allows that.
+// resumableBody is the body of a response that is streamed to the caller. If the target breaks it off and the response
+// allows Range requests, it is resumed from another target.
 type resumableBody struct {
 	service *Service
 	ctx     context.Context
