--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -15,10 +15,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests.
+// TestMain runs the tests with a fixed seed for the property tests.
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// Bounds of overload, from the stated target.
+// Requirements on the behavior under overload: the minimum goodput as a share of the capacity, the time after the
+// overload until latency is normal again, and the minimum share of high-class requests that are answered.
 const (
 	minGoodput           = 0.95
 	recoveryTime         = 2 * time.Second
@@ -26,7 +27,8 @@
 	overloadSeconds      = 60
 )
 
-// overloadRun is an overload of two classes followed by normal load, with callers that may send again.
+// overloadRun is a simulation of an overload with requests of two classes, followed by normal load. The callers may
+// retry refused requests.
 type overloadRun struct {
 	*simulation
 	factor                    float64
@@ -41,7 +43,7 @@
 	o := &overloadRun{factor: factor, callersRetry: retry, overloadEnd: (2 + overloadSeconds) * time.Second, end: (2 + overloadSeconds + 8) * time.Second}
 	c := scenario{targets: 8, slots: 4, meanWork: 10 * time.Millisecond, oneWayDelay: time.Millisecond, callerDelay: time.Millisecond, noise: true, deadline: 500 * time.Millisecond, seed: 5, length: o.end}
 	o.simulation = newSimulation(c, newLateBinding(c, lateBindingConfig{homes: 1, overcommit: -1, reports: true}))
-	o.done = o.jobEnded
+	o.onJobEnd = o.jobEnded
 	o.after(0, o.generateOverload)
 	for len(o.agenda) > 0 && o.agenda[0].at <= o.length {
 		o.advance()
@@ -49,24 +51,25 @@
 	return o
 }
 
-// generateOverload offers a tenth of the capacity in the high class and the rest in the low one.
+// generateOverload offers a tenth of the capacity in the high class and the rest of the load in the low one.
 func (o *overloadRun) generateOverload() {
-	use := 0.6
+	utilization := 0.6
 	if o.now > warmUp && o.now < o.overloadEnd {
-		use = o.factor
+		utilization = o.factor
 	}
 	j := &job{}
-	if o.random.Float64()*use < 0.1 {
+	if o.random.Float64()*utilization < 0.1 {
 		j.class = 1
 	}
 	o.offer(j)
-	o.after(time.Duration(o.random.ExpFloat64()/(use*o.capacity())*float64(time.Second)), o.generateOverload)
+	o.after(time.Duration(o.random.ExpFloat64()/(utilization*o.capacity())*float64(time.Second)), o.generateOverload)
 }
 
-// jobEnded counts the end of a job; a refused one is sent again after a while, up to three times.
+// jobEnded counts the end of a job. If callers retry, a refused or late one is offered again after 50 to 150 ms, up to
+// three times.
 func (o *overloadRun) jobEnded(j *job, ok bool) {
-	inside := j.offeredAt > warmUp && j.offeredAt < o.overloadEnd
-	if inside && j.class == 1 && j.tries == 0 {
+	offeredInOverload := j.offeredAt > warmUp && j.offeredAt < o.overloadEnd
+	if offeredInOverload && j.class == 1 && j.retries == 0 {
 		o.highOffered++
 		if ok {
 			o.highAnswered++
@@ -78,9 +81,9 @@
 	if ok && o.now > o.overloadEnd+recoveryTime {
 		o.maxLatencyAfter = max(o.maxLatencyAfter, o.now-j.offeredAt)
 	}
-	if !ok && o.callersRetry && j.tries < 3 {
-		again := &job{class: j.class, tries: j.tries + 1}
-		o.after(time.Duration(50+o.random.IntN(100))*time.Millisecond, func() { o.offer(again) })
+	if !ok && o.callersRetry && j.retries < 3 {
+		retry := &job{class: j.class, retries: j.retries + 1}
+		o.after(time.Duration(50+o.random.IntN(100))*time.Millisecond, func() { o.offer(retry) })
 	}
 }
 
@@ -105,7 +108,9 @@
 	}
 }
 
-// TestControllerInvariants checks the gate against any order of arrivals, ends and times.
+// TestControllerInvariants submits, finishes and cancels requests in random order at random times. The queue must stay
+// within its limit, no target may exceed its slots by more than the overcommit, the router must count exactly the
+// assigned requests as in flight, and ejection must leave at least one target.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(t, "limit")
@@ -150,7 +155,7 @@
 			},
 			"": func(t *rapid.T) {
 				if c.Queued() > limit {
-					t.Fatalf("%d wait, the limit is %d", c.Queued(), limit)
+					t.Fatalf("%d requests are queued, the limit is %d", c.Queued(), limit)
 				}
 				for _, request := range all {
 					if _, assigned := request.Decision().(*admission.Assignment); assigned && request.ExcludedTarget != "ended" {
@@ -159,24 +164,24 @@
 				}
 				sum := 0
 				for i := range r.Size() {
-					held := r.InFlight(route.Index(i))
-					if held > 2+2 {
-						t.Fatalf("target %d holds %d requests in 2 slots", i, held)
+					inFlightOnTarget := r.InFlight(route.Index(i))
+					if inFlightOnTarget > 2+2 {
+						t.Fatalf("target %d holds %d requests in 2 slots", i, inFlightOnTarget)
 					}
-					sum += held
+					sum += inFlightOnTarget
 				}
 				if sum != len(inFlight) {
-					t.Fatalf("%d requests are bound and the router counts %d", len(inFlight), sum)
+					t.Fatalf("%d requests are assigned, but the router counts %d in flight", len(inFlight), sum)
 				}
 				if len(r.Eligible(nil)) == 0 {
-					t.Fatal("ejection emptied the service")
+					t.Fatal("no target is eligible: all were ejected")
 				}
 			},
 		})
 	})
 }
 
-// TestDecisionBound holds a decision and a weighted count to no allocation.
+// TestDecisionBound checks that a decision and a weighted count allocate nothing.
 func TestDecisionBound(t *testing.T) {
 	is := is.New(t)
 	c, request := newDecisionFixture()
@@ -190,7 +195,7 @@
 	}), 0.0)
 }
 
-// newDecisionFixture returns a gate with the targets of a planned service, and a waiter to decide on.
+// newDecisionFixture returns a controller with the targets of one service of the planned size, and a request to submit.
 func newDecisionFixture() (*admission.Controller, *admission.Request) {
 	r := route.New(route.Config{Random: rand.New(rand.NewPCG(1, 1)), Overcommit: -1})
 	var specs []route.Spec
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -9,10 +9,11 @@
 	"briarcroft/internal/route"
 )
 
-// entryHosts is how many hosts share the callers when nothing sends them to homes.
+// entryHosts is the number of entry hosts that the callers are spread over if requests are not sent to homes. A home is
+// the host that places the requests of a service.
 const entryHosts = 13
 
-// earlyBinding is a policy that binds each job to a target on arrival, from one of the entry hosts.
+// earlyBinding is a policy that assigns each job to a target on arrival at one of the entry hosts.
 type earlyBinding struct {
 	choose           func(s *simulation, host *earlyHost) *fakeTarget
 	hosts            []*earlyHost
@@ -44,8 +45,8 @@
 }
 
 func (p *earlyBinding) requestArrived(s *simulation, j *job) {
-	j.sender = s.random.IntN(len(p.hosts))
-	host := p.hosts[j.sender]
+	j.hostIndex = s.random.IntN(len(p.hosts))
+	host := p.hosts[j.hostIndex]
 	t := p.choose(s, host)
 	host.inFlight[t.index]++
 	s.send(j, t, host.domain)
@@ -56,7 +57,7 @@
 }
 
 func (p *earlyBinding) requestCompleted(s *simulation, j *job) {
-	host := p.hosts[j.sender]
+	host := p.hosts[j.hostIndex]
 	s.after(s.networkDelay(host.domain, j.target), func() {
 		host.inFlight[j.target.index]--
 		s.finish(j)
@@ -66,7 +67,7 @@
 func (p *earlyBinding) tick(*simulation) {}
 func (p *earlyBinding) probeCount() int  { return p.probesSent }
 
-// probePoolSize and probeAge bound the pool of the asynchronous prober.
+// probePoolSize and probeAge are the maximum number and age of the probe results that a host keeps.
 const (
 	probePoolSize = 16
 	probeAge      = time.Second
@@ -75,10 +76,10 @@
 func (p *earlyBinding) sendProbe(s *simulation, host *earlyHost) {
 	p.probesSent++
 	t := s.targets[s.random.IntN(len(s.targets))]
-	trip := s.networkDelay(host.domain, t)
-	s.after(trip, func() {
+	delay := s.networkDelay(host.domain, t)
+	s.after(delay, func() {
 		sample := probeSample{t, len(t.running) + len(t.waiting), s.meanWork.Seconds() / t.speed, s.now}
-		s.after(trip, func() {
+		s.after(delay, func() {
 			host.probePool = append(host.probePool, sample)
 			if len(host.probePool) > probePoolSize {
 				host.probePool = host.probePool[1:]
@@ -104,7 +105,8 @@
 	return a
 }
 
-// chooseProbed takes the probed target with the least load and latency and uses the probe up.
+// chooseProbed returns the target with the best product of latency and load in the probe pool, and removes its sample.
+// Without a recent sample it falls back to chooseTwo.
 func chooseProbed(s *simulation, h *earlyHost) *fakeTarget {
 	best, bestScore := -1, math.Inf(1)
 	for i, sample := range h.probePool {
@@ -124,8 +126,9 @@
 	return t
 }
 
-// idealQueue is one queue with instant knowledge of every slot and speed, and no travel between queue and target.
-// With patience it leaves a slot idle that is more than patience times slower than usual while others are at work.
+// idealQueue is a single queue that always knows the free slots and the speed of every target and assigns jobs without
+// delay. The network delay is added to the response only, so that it leaves no slot idle. If maxSlowdown is not 0, no
+// target is used while it is slower than normal by more than that factor.
 type idealQueue struct {
 	maxSlowdown float64
 	queue       []*job
@@ -164,14 +167,15 @@
 func (p *idealQueue) tick(s *simulation) { p.dispatch(s) }
 func (p *idealQueue) probeCount() int    { return 0 }
 
-// lateBinding is briarcroft's own policy: homes that bind late and exchange counts.
+// lateBinding is briarcroft's policy: the homes of a service queue its requests, assign them when slots are free and
+// exchange in-flight counts.
 type lateBinding struct {
 	hosts            []*homeHost
 	exchangeInterval time.Duration
 	lastExchange     time.Duration
 	reports          bool
 	countMessages    int
-	// hedgeRatio is how many times the usual latency a try may take before a second one starts; 0 for never.
+	// hedgeRatio is the multiple of the service's mean latency after which a second attempt starts; 0 means never.
 	hedgeRatio float64
 	hedges     int
 }
@@ -192,24 +196,24 @@
 	hedgeRatio       float64
 }
 
-func newLateBinding(c scenario, g lateBindingConfig) *lateBinding {
-	p := &lateBinding{exchangeInterval: g.exchangeInterval, reports: g.reports}
+func newLateBinding(c scenario, config lateBindingConfig) *lateBinding {
+	p := &lateBinding{exchangeInterval: config.exchangeInterval, reports: config.reports}
 	if c.idempotent {
-		p.hedgeRatio = g.hedgeRatio
+		p.hedgeRatio = config.hedgeRatio
 	}
-	for i := range g.homes {
-		r := route.New(route.Config{Random: rand.New(rand.NewPCG(c.seed, uint64(i))), Overcommit: g.overcommit})
+	for i := range config.homes {
+		r := route.New(route.Config{Random: rand.New(rand.NewPCG(c.seed, uint64(i))), Overcommit: config.overcommit})
 		h := &homeHost{domain: i % domains, budget: route.NewRetryBudget(route.RetryBudgetConfig{Ratio: hedgeBudgetRatio})}
 		var specs []route.Spec
 		for t := range c.targets {
-			trip := 2 * c.oneWayDelay
+			roundTrip := 2 * c.oneWayDelay
 			if t%domains == h.domain {
-				trip = 2 * sameDomainDelay
+				roundTrip = 2 * sameDomainDelay
 			}
-			specs = append(specs, route.Spec{Name: targetName(t), Slots: c.slots, RoundTrip: trip})
+			specs = append(specs, route.Spec{Name: targetName(t), Slots: c.slots, RoundTrip: roundTrip})
 		}
 		r.SetTargets(0, specs)
-		h.controller = admission.New(admission.Config{Router: r, QueueLimit: max(g.queueLimit, 256)})
+		h.controller = admission.New(admission.Config{Router: r, QueueLimit: max(config.queueLimit, 256)})
 		p.hosts = append(p.hosts, h)
 	}
 	return p
@@ -218,24 +222,25 @@
 func targetName(i int) string { return "target-" + string(rune('a'+i/26)) + string(rune('a'+i%26)) }
 
 func (p *lateBinding) requestArrived(s *simulation, j *job) {
-	j.sender = s.random.IntN(len(p.hosts))
-	h := p.hosts[j.sender]
+	j.hostIndex = s.random.IntN(len(p.hosts))
+	h := p.hosts[j.hostIndex]
 	deadline := s.deadline
 	if deadline == 0 {
 		deadline = 10 * time.Second
 	}
 	request := &admission.Request{Class: admission.Class(j.class), Weight: 1 + 3*j.class, Deadline: j.offeredAt + deadline}
-	j.data = request
+	j.policyData = request
 	h.budget.RecordRequest()
 	h.waiting = append(h.waiting, j)
 	h.controller.Submit(s.now, request)
 	p.applyDecisions(s, h)
 }
 
-// hedgeBudgetRatio is the ratio of second tries to first ones, as notes set it by default.
+// hedgeBudgetRatio is the maximum ratio of hedges to requests. It is the default of a note.
 const hedgeBudgetRatio = 0.1
 
-// scheduleHedge starts a second try of a bound job when its answer is late, as far as the budget and the queue allow.
+// scheduleHedge schedules a second attempt of an assigned job. It starts if there is no response by then, no request is
+// queued and the budget allows it.
 func (p *lateBinding) scheduleHedge(s *simulation, h *homeHost, j *job) {
 	if p.hedgeRatio == 0 || j.otherAttempt != nil {
 		return
@@ -246,18 +251,18 @@
 			return
 		}
 		p.hedges++
-		firstRequest := j.data.(*admission.Request)
-		second := &job{offeredAt: j.offeredAt, remaining: j.work, work: j.work, sender: j.sender, otherAttempt: j}
+		firstRequest := j.policyData.(*admission.Request)
+		second := &job{offeredAt: j.offeredAt, remaining: j.work, work: j.work, hostIndex: j.hostIndex, otherAttempt: j}
 		j.otherAttempt = second
 		request := &admission.Request{Class: firstRequest.Class, Weight: firstRequest.Weight, Deadline: firstRequest.Deadline, ExcludedTarget: targetName(j.target.index)}
-		second.data = request
+		second.policyData = request
 		h.waiting = append(h.waiting, second)
 		h.controller.Submit(s.now, request)
 		p.applyDecisions(s, h)
 	})
 }
 
-// cancelOtherAttempt ends the other try of a job that was answered.
+// cancelOtherAttempt cancels the other attempt of a job that was answered.
 func (p *lateBinding) cancelOtherAttempt(s *simulation, h *homeHost, j *job) {
 	j.done = true
 	other := j.otherAttempt
@@ -265,7 +270,7 @@
 		return
 	}
 	other.done = true
-	request := other.data.(*admission.Request)
+	request := other.policyData.(*admission.Request)
 	h.controller.Cancel(request)
 	if assignment, assigned := request.Decision().(*admission.Assignment); assigned {
 		h.controller.Finish(s.now, assignment, s.now-assignment.Start, route.Abandoned)
@@ -275,14 +280,14 @@
 	}
 }
 
-// applyDecisions acts on the verdicts that the gate gave since the last time.
+// applyDecisions sends or refuses the jobs that the controller has decided on since the last call.
 func (p *lateBinding) applyDecisions(s *simulation, h *homeHost) {
 	waiting := h.waiting[:0]
 	for _, j := range h.waiting {
 		if j.done {
 			continue
 		}
-		switch v := j.data.(*admission.Request).Decision().(type) {
+		switch v := j.policyData.(*admission.Request).Decision().(type) {
 		case admission.Waiting:
 			waiting = append(waiting, j)
 		case *admission.Assignment:
@@ -298,13 +303,13 @@
 }
 
 func (p *lateBinding) requestCompleted(s *simulation, j *job) {
-	h := p.hosts[j.sender]
+	h := p.hosts[j.hostIndex]
 	reported := j.target.reported
 	s.after(s.networkDelay(h.domain, j.target), func() {
 		if j.done {
 			return
 		}
-		assignment := j.data.(*admission.Request).Decision().(*admission.Assignment)
+		assignment := j.policyData.(*admission.Request).Decision().(*admission.Assignment)
 		h.controller.Finish(s.now, assignment, s.now-assignment.Start, route.Succeeded)
 		p.cancelOtherAttempt(s, h, j)
 		if p.reports {
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -10,12 +10,14 @@
 	"github.com/matryer/is"
 )
 
-// Bounds of the policy, from the stated target.
+// Requirements on the policy: the maximum ratio of its 99th percentile latency to that of the ideal queue, at
+// boundUtilization, and the maximum number of probes per request. The message sizes are for the bytes column of the
+// table.
 const (
 	maxRatioToIdeal     = 1.15
 	maxProbesPerRequest = 0.05
 	boundUtilization    = 0.85
-	hedgeRatio          = 2.5 // as package steering hedges
+	hedgeRatio          = 2.5 // the same as in package steering
 	probeMessageBytes   = 128
 	countsMessageBytes  = 24
 )
@@ -25,28 +27,29 @@
 	make func(c scenario) policy
 }
 
-func newLateBindingPolicy(g lateBindingConfig) func(scenario) policy {
-	return func(c scenario) policy { return newLateBinding(c, g) }
+func newLateBindingPolicy(config lateBindingConfig) func(scenario) policy {
+	return func(c scenario) policy { return newLateBinding(c, config) }
 }
 
-func newEarlyBindingPolicy(choose func(*simulation, *earlyHost) *fakeTarget, perAnswer float64) func(scenario) policy {
+func newEarlyBindingPolicy(choose func(*simulation, *earlyHost) *fakeTarget, probesPerRequest float64) func(scenario) policy {
 	return func(c scenario) policy {
 		p := newEarlyBinding(entryHosts, c.targets, choose)
-		p.probesPerRequest = perAnswer
+		p.probesPerRequest = probesPerRequest
 		return p
 	}
 }
 
-// briarcroftPolicy is the policy as the entry hosts run it.
+// briarcroftPolicy is the policy that the entry hosts run.
 var briarcroftPolicy = namedPolicy{"briarcroft", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: -1, reports: true, hedgeRatio: hedgeRatio})}
 
-// idealPolicies are the two ways to run an ideal queue; the better one in each row is what ours is held against.
+// idealPolicies are two variants of an ideal queue. The reference for briarcroft is the one with the lower 99th
+// percentile under the same load.
 var idealPolicies = []namedPolicy{
 	{"ideal, any slot", func(scenario) policy { return &idealQueue{} }},
 	{"ideal, patient", func(scenario) policy { return &idealQueue{maxSlowdown: 2.5} }},
 }
 
-// baselinePolicies are the usual policies.
+// baselinePolicies are common load-balancing policies.
 var baselinePolicies = []namedPolicy{
 	{"random", newEarlyBindingPolicy(chooseRandom, 0)},
 	{"round robin", newEarlyBindingPolicy(chooseRoundRobin, 0)},
@@ -54,7 +57,7 @@
 	{"probe pool", newEarlyBindingPolicy(chooseProbed, 2)},
 }
 
-// variations are ways that were weighed against ours.
+// variations are alternative settings of the briarcroft policy.
 var variations = []namedPolicy{
 	{"slots +0", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 0, reports: true})},
 	{"slots +1", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 1, reports: true})},
@@ -72,7 +75,7 @@
 	{"13 hosts blind", newLateBindingPolicy(lateBindingConfig{homes: 13, overcommit: -1, reports: true})},
 }
 
-// deployment is the size of one service; services is how many of them are run.
+// deployment describes one service. Services is the number of such services to simulate, each with its own seed.
 type deployment struct {
 	name                  string
 	targets, slots        int
@@ -82,7 +85,7 @@
 	idempotent            bool
 }
 
-// deployments are the services of the firms today, and those of the planned size.
+// deployments are the users' present services, and services of the planned size.
 var deployments = []deployment{
 	{"stalverk lookup", 13, 4, 10 * time.Millisecond, time.Millisecond, time.Millisecond, 3, true},
 	{"stalverk sign-off", 8, 4, 10 * time.Millisecond, time.Millisecond, time.Millisecond, 3, false},
@@ -93,7 +96,7 @@
 	{"planned 59 services", 20, 4, 75 * time.Millisecond, time.Millisecond, time.Millisecond, 59, false},
 }
 
-// measurement is one row of the table.
+// measurement is the result of one policy under one load, which is one row of the table.
 type measurement struct {
 	p50, p99, p999 time.Duration
 	probes         float64
@@ -102,14 +105,14 @@
 	refused        int
 }
 
-// measure runs a policy on every service of a deployment with its own seed.
-func measure(d deployment, use, step float64, p namedPolicy) measurement {
+// measure simulates a policy on every service of a deployment and merges the results.
+func measure(d deployment, utilization, stepUtilization float64, p namedPolicy) measurement {
 	merged := hdrhistogram.New(1, int64(time.Minute), 3)
 	var m measurement
-	probes, counts := 0, 0
+	probes, countMessages := 0, 0
 	for i := range d.services {
 		c := scenario{
-			targets: d.targets, slots: d.slots, meanWork: d.meanWork, oneWayDelay: d.oneWayDelay, callerDelay: d.callerDelay, utilization: use, stepUtilization: step,
+			targets: d.targets, slots: d.slots, meanWork: d.meanWork, oneWayDelay: d.oneWayDelay, callerDelay: d.callerDelay, utilization: utilization, stepUtilization: stepUtilization,
 			noise: true, straggler: true, falseReporter: true, idempotent: d.idempotent, length: 12 * time.Second, seed: uint64(i + 1),
 		}
 		s := newSimulation(c, p.make(c))
@@ -118,8 +121,8 @@
 		m.answered += s.answered
 		m.refused += s.refused
 		probes += s.policy.probeCount()
-		if g, gated := s.policy.(*lateBinding); gated {
-			counts += g.countMessages
+		if g, isLateBinding := s.policy.(*lateBinding); isLateBinding {
+			countMessages += g.countMessages
 		}
 	}
 	requests := float64(max(1, m.answered+m.refused))
@@ -127,7 +130,7 @@
 	m.p99 = time.Duration(merged.ValueAtQuantile(99))
 	m.p999 = time.Duration(merged.ValueAtQuantile(99.9))
 	m.probes = float64(probes) / requests
-	m.bytes = (float64(probes)*probeMessageBytes + float64(counts*d.targets)*countsMessageBytes) / requests
+	m.bytes = (float64(probes)*probeMessageBytes + float64(countMessages*d.targets)*countsMessageBytes) / requests
 	return m
 }
 
@@ -138,10 +141,10 @@
 
 const tableHeader = "deployment           load      policy             p50 ms    p99 ms  p99.9 ms  /ideal   probes   bytes  refused"
 
-// fullTable reports whether the whole table is wanted rather than the rows that the bounds need.
+// fullTable reports whether to print all rows of the tables rather than only those with a requirement.
 func fullTable() bool { return os.Getenv("BRIARCROFT_FULL") != "" }
 
-// TestPolicyTable holds the policy against an ideal queue and the usual policies.
+// TestPolicyTable compares the policy with an ideal queue and with common policies.
 func TestPolicyTable(t *testing.T) {
 	t.Log(tableHeader)
 	for _, d := range deployments {
@@ -149,8 +152,8 @@
 	}
 }
 
-// TestPolicyStockTable is the table for the service with the most travel for its slots, with its callers
-// nearer than they are, so that travel inside weighs more.
+// TestPolicyStockTable is the table for the service with the most network delay per slot. Its callers are closer than
+// in reality, so that the delay between entry hosts and targets is a larger part of the latency.
 func TestPolicyStockTable(t *testing.T) {
 	for _, d := range deployments {
 		if d.name == "kiosques stock" {
@@ -160,17 +163,17 @@
 	}
 }
 
-// checkDeployment compares all policies under every load that is wanted.
+// checkDeployment compares all policies under boundUtilization, or under every load if fullTable is set.
 func checkDeployment(t *testing.T, d deployment) {
-	uses := []float64{boundUtilization}
+	utilizations := []float64{boundUtilization}
 	if fullTable() {
-		uses = []float64{0.5, 0.7, boundUtilization, 0.95}
+		utilizations = []float64{0.5, 0.7, boundUtilization, 0.95}
 	}
 	if !fullTable() && d.services > 3 {
 		d.services = 6
 	}
-	for _, use := range uses {
-		t.Run(fmt.Sprintf("%s %.0f%%", d.name, use*100), func(t *testing.T) { checkRow(t, d, use, 0) })
+	for _, utilization := range utilizations {
+		t.Run(fmt.Sprintf("%s %.0f%%", d.name, utilization*100), func(t *testing.T) { checkRow(t, d, utilization, 0) })
 	}
 	if fullTable() {
 		t.Run(d.name+" step", func(t *testing.T) { checkRow(t, d, 0.6, 1.1) })
@@ -178,25 +181,25 @@
 }
 
 // checkRow compares all policies under one load.
-func checkRow(t *testing.T, d deployment, use, step float64) {
+func checkRow(t *testing.T, d deployment, utilization, stepUtilization float64) {
 	is := is.NewRelaxed(t)
-	load := fmt.Sprintf("%.0f%%", use*100)
-	if step > 0 {
-		load = fmt.Sprintf("%.0f>%.0f%%", use*100, step*100)
+	load := fmt.Sprintf("%.0f%%", utilization*100)
+	if stepUtilization > 0 {
+		load = fmt.Sprintf("%.0f>%.0f%%", utilization*100, stepUtilization*100)
 	}
 	var best time.Duration
 	var lines []string
 	rows := map[string]measurement{}
 	for _, p := range idealPolicies {
-		rows[p.name] = measure(d, use, step, p)
+		rows[p.name] = measure(d, utilization, stepUtilization, p)
 		if best == 0 || rows[p.name].p99 < best {
 			best = rows[p.name].p99
 		}
 	}
 	for _, p := range append(append(baselinePolicies, briarcroftPolicy), idealPolicies...) {
-		m, done := rows[p.name]
-		if !done {
-			m = measure(d, use, step, p)
+		m, found := rows[p.name]
+		if !found {
+			m = measure(d, utilization, stepUtilization, p)
 			rows[p.name] = m
 		}
 		lines = append(lines, m.row(d, load, p.name, best))
@@ -204,27 +207,27 @@
 	for _, line := range lines {
 		t.Log(line)
 	}
-	mine := rows[briarcroftPolicy.name]
-	is.True(mine.probes <= maxProbesPerRequest) // probes per request
-	if use == boundUtilization {
-		is.True(float64(mine.p99) <= maxRatioToIdeal*float64(best)) // p99 against the ideal queue
+	measured := rows[briarcroftPolicy.name]
+	is.True(measured.probes <= maxProbesPerRequest) // probes per request
+	if utilization == boundUtilization {
+		is.True(float64(measured.p99) <= maxRatioToIdeal*float64(best)) // p99 against the ideal queue
 	}
 	for _, p := range baselinePolicies {
-		is.True(mine.p99 < rows[p.name].p99) // p99 against the usual policies
+		is.True(measured.p99 < rows[p.name].p99) // p99 against the baseline policies
 	}
 }
 
-// TestVariations prints the ways that were weighed, under the load of the bound.
+// TestVariations prints the results of the variations under boundUtilization and 95 % utilization.
 func TestVariations(t *testing.T) {
 	if !fullTable() {
-		t.Skip("the ways weighed are printed by make bench")
+		t.Skip("the variations are printed by make bench")
 	}
 	t.Log(tableHeader)
 	for _, d := range deployments[:6] {
-		for _, use := range []float64{boundUtilization, 0.95} {
-			best := min(measure(d, use, 0, idealPolicies[0]).p99, measure(d, use, 0, idealPolicies[1]).p99)
+		for _, utilization := range []float64{boundUtilization, 0.95} {
+			best := min(measure(d, utilization, 0, idealPolicies[0]).p99, measure(d, utilization, 0, idealPolicies[1]).p99)
 			for _, p := range append([]namedPolicy{briarcroftPolicy}, variations...) {
-				t.Log(measure(d, use, 0, p).row(d, fmt.Sprintf("%.0f%%", use*100), p.name, best))
+				t.Log(measure(d, utilization, 0, p).row(d, fmt.Sprintf("%.0f%%", utilization*100), p.name, best))
 			}
 		}
 	}
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -10,12 +10,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// scenario is one service under load, in virtual time.
+// scenario describes a service and its load, in virtual time.
 type scenario struct {
 	targets, slots int
 	meanWork       time.Duration
 	oneWayDelay    time.Duration
-	// callerDelay is the travel between a caller and an entry host.
+	// callerDelay is the one-way network delay between a caller and an entry host, oneWayDelay that between an entry
+	// host and a target in another failure domain.
 	callerDelay     time.Duration
 	utilization     float64
 	stepUtilization float64
@@ -28,6 +29,8 @@
 	seed            uint64
 }
 
+// Parameters of the simulation. The work of a job is log-normally distributed with the standard deviation workSigma of
+// its logarithm; targets are slowed to noisySpeed by noisy neighbors in periods with the mean length meanNoisyTime.
 const (
 	domains           = 3
 	warmUp            = 2 * time.Second
@@ -41,27 +44,27 @@
 	maxReportInterval = 2 * time.Second
 )
 
-// job is one request on its way.
+// job is one attempt of a request.
 type job struct {
-	offeredAt time.Duration
-	work      float64
-	remaining float64
-	target    *fakeTarget
-	resumedAt time.Duration
-	speed     float64
-	epoch     int
-	class     int
-	tries     int
-	sender    int
-	data      any
-	// otherAttempt is the other try of a hedged job; done is set once the job was answered or cancelled.
+	offeredAt  time.Duration
+	work       float64
+	remaining  float64
+	target     *fakeTarget
+	resumedAt  time.Duration
+	speed      float64
+	epoch      int
+	class      int
+	retries    int
+	hostIndex  int
+	policyData any
+	// otherAttempt is the other attempt of a hedged job. The flag done is set once the job is answered or canceled.
 	otherAttempt *job
 	done         bool
-	// cancelled is set once the target was told to stop.
-	cancelled bool
+	// canceled is set once the cancellation has reached the target.
+	canceled bool
 }
 
-// fakeTarget runs jobs in slots at a speed that changes, with a queue of its own behind them.
+// fakeTarget is a simulated target. It runs jobs in its slots at a speed that varies, and queues those beyond.
 type fakeTarget struct {
 	index       int
 	domain      int
@@ -74,7 +77,7 @@
 	reported    int
 }
 
-// policy decides where a job goes; each variant is one way of steering.
+// policy is a load-balancing policy under test: it decides which target runs a job.
 type policy interface {
 	requestArrived(s *simulation, j *job)
 	requestCompleted(s *simulation, j *job)
@@ -103,21 +106,21 @@
 	return last
 }
 
-// simulation is the virtual clock and the fake targets behind a policy.
+// simulation is a discrete-event simulation of a policy with simulated targets, on a virtual clock.
 type simulation struct {
 	scenario
-	now      time.Duration
-	agenda   agenda
-	seq      int
-	random   *rand.Rand
-	targets  []*fakeTarget
-	policy   policy
-	latency  *hdrhistogram.Histogram
-	offered  int
-	answered int
-	refused  int
-	late     int
-	done     func(j *job, ok bool)
+	now          time.Duration
+	agenda       agenda
+	seq          int
+	random       *rand.Rand
+	targets      []*fakeTarget
+	policy       policy
+	latency      *hdrhistogram.Histogram
+	offered      int
+	answered     int
+	refused      int
+	answeredLate int
+	onJobEnd     func(j *job, ok bool)
 }
 
 func newSimulation(c scenario, p policy) *simulation {
@@ -148,7 +151,7 @@
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// capacity returns the jobs per second that all targets can do.
+// capacity returns how many jobs per second all targets together can run on average.
 func (s *simulation) capacity() float64 {
 	sum := 0.0
 	for _, t := range s.targets {
@@ -171,21 +174,21 @@
 	}
 }
 
-// advance runs the next event.
+// advance sets the clock to the next event and runs it.
 func (s *simulation) advance() {
 	e := heap.Pop(&s.agenda).(event)
 	s.now = e.at
 	e.run()
 }
 
-// generate offers a Poisson stream; with a step the use changes in the middle third.
+// generate offers jobs as a Poisson process at the given utilization, or at stepUtilization in the middle third if set.
 func (s *simulation) generate() {
-	use := s.utilization
+	utilization := s.utilization
 	if s.stepUtilization > 0 && s.now > s.length/3 && s.now < 2*s.length/3 {
-		use = s.stepUtilization
+		utilization = s.stepUtilization
 	}
 	s.offer(&job{})
-	s.after(time.Duration(s.random.ExpFloat64()/(use*s.capacity())*float64(time.Second)), s.generate)
+	s.after(time.Duration(s.random.ExpFloat64()/(utilization*s.capacity())*float64(time.Second)), s.generate)
 }
 
 func (s *simulation) offer(j *job) {
@@ -208,7 +211,7 @@
 	return s.oneWayDelay
 }
 
-// send carries a job to a target.
+// send delivers a job to a target after the network delay.
 func (s *simulation) send(j *job, t *fakeTarget, domain int) {
 	j.target = t
 	s.after(s.networkDelay(domain, t), func() { s.deliver(j) })
@@ -216,7 +219,7 @@
 
 func (s *simulation) deliver(j *job) {
 	t := j.target
-	if j.cancelled {
+	if j.canceled {
 		return
 	}
 	if len(t.running) >= t.slots {
@@ -247,7 +250,7 @@
 	s.policy.requestCompleted(s, j)
 }
 
-// freeSlot frees a job's slot for the next one that waits at the target.
+// freeSlot frees a job's slot and starts the next job that is queued at the target.
 func (s *simulation) freeSlot(j *job) {
 	t := j.target
 	i := slices.Index(t.running, j)
@@ -262,9 +265,9 @@
 	}
 }
 
-// cancel ends a job at its target, wherever it is.
+// cancel ends a job at its target, whether it is queued or running.
 func (s *simulation) cancel(j *job) {
-	j.cancelled = true
+	j.canceled = true
 	j.epoch++
 	if i := slices.Index(j.target.waiting, j); i >= 0 {
 		j.target.waiting = slices.Delete(j.target.waiting, i, i+1)
@@ -273,30 +276,30 @@
 	s.freeSlot(j)
 }
 
-// finish carries the answer to the caller.
+// finish counts the response of a job, which reaches the caller after callerDelay.
 func (s *simulation) finish(j *job) {
 	took := s.now + s.callerDelay - j.offeredAt
 	s.answered++
 	onTime := s.deadline == 0 || took <= s.deadline
 	if !onTime {
-		s.late++
+		s.answeredLate++
 	}
 	if j.offeredAt >= warmUp {
 		_ = s.latency.RecordValue(int64(took))
 	}
-	if s.done != nil {
-		s.done(j, onTime)
+	if s.onJobEnd != nil {
+		s.onJobEnd(j, onTime)
 	}
 }
 
 func (s *simulation) refuse(j *job) {
 	s.refused++
-	if s.done != nil {
-		s.done(j, false)
+	if s.onJobEnd != nil {
+		s.onJobEnd(j, false)
 	}
 }
 
-// setSpeed changes a target's speed in the middle of its jobs, as a noisy neighbour does.
+// setSpeed changes a target's speed while it runs jobs, as a noisy neighbor does, and schedules the next change.
 func (s *simulation) setSpeed(t *fakeTarget, speed float64) {
 	t.speed = speed
 	for _, j := range t.running {
@@ -310,7 +313,7 @@
 	s.after(s.exponential(meanQuietTime), func() { s.setSpeed(t, noisySpeed) })
 }
 
-// report renews the load that the target reports until the next time.
+// report updates the load that the target reports, and schedules the next update.
 func (s *simulation) report(t *fakeTarget) {
 	t.reported = len(t.running) + len(t.waiting)
 	if t.reportsZero {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -19,7 +19,7 @@
 	return r
 }
 
-// runRequest runs a request on a target from start to end.
+// runRequest starts and finishes a request on a target.
 func runRequest(r *Router, now time.Duration, i Index, took time.Duration, outcome Outcome) {
 	r.Start(now, i)
 	r.Finish(now+took, i, now, took, outcome)
@@ -37,7 +37,7 @@
 	for now := time.Second; now < 5*time.Second; now += 100 * time.Millisecond {
 		r.Tick(now)
 	}
-	is.Equal(len(r.Eligible(nil)), 5) // all are back
+	is.Equal(len(r.Eligible(nil)), 5) // all ejections have ended
 }
 
 func TestEjectionDoublesAndRampStartsWithOneRequest(t *testing.T) {
@@ -91,12 +91,12 @@
 	r := newTestRouter(2)
 	is.True(r.ApplyReport(0, 0, LoadReport{InFlight: 3}))
 	is.True(r.targets[0].load(0, 0.01) > 2.9)
-	is.True(r.targets[0].load(time.Second, 0.01) < 0.1) // old knowledge loses weight
+	is.True(r.targets[0].load(time.Second, 0.01) < 0.1) // old reports decay
 	for range 4 {
 		r.Start(0, 0)
 	}
-	is.True(!r.ApplyReport(0, 0, LoadReport{InFlight: 0}))             // four are in flight here alone
-	is.True(!r.ApplyReport(5*time.Second, 0, LoadReport{InFlight: 9})) // not believed for a while
+	is.True(!r.ApplyReport(0, 0, LoadReport{InFlight: 0}))             // this host alone has four in flight
+	is.True(!r.ApplyReport(5*time.Second, 0, LoadReport{InFlight: 9})) // still ignored after the contradiction
 	is.True(r.ApplyReport(11*time.Second, 0, LoadReport{InFlight: 4}))
 }
 
@@ -104,7 +104,7 @@
 	is := is.New(t)
 	r := newTestRouter(2)
 	r.Drain(0, 0, CauseReportedDraining)
-	r.ApplyProbe(time.Second, 0, false) // an address that never confirmed the draining
+	r.ApplyProbe(time.Second, 0, false) // ignored: no probe has confirmed the draining
 	is.Equal(r.State(0), Draining)
 	r.ApplyProbe(2*time.Second, 0, true)
 	r.ApplyProbe(3*time.Second, 0, false)
@@ -136,35 +136,35 @@
 	is.Equal(b.Spent+b.Denied, int64(1000))
 }
 
-// TestRemoteTargetsAreUsedOnlyAsFallback runs a service with targets in two regions: the far ones get work only when the near ones are
-// full or gone, and are not taken for stragglers.
+// TestRemoteTargetsAreUsedOnlyAsFallback runs a service with targets in two regions. The remote ones must get requests
+// only when the near ones are full or drained, and must not be ejected as stragglers for their network delay.
 func TestRemoteTargetsAreUsedOnlyAsFallback(t *testing.T) {
 	is := is.New(t)
-	const near, travel = 10 * time.Millisecond, 60 * time.Millisecond
+	const runTime, roundTrip = 10 * time.Millisecond, 60 * time.Millisecond
 	r := New(Config{Random: rand.New(rand.NewPCG(1, 1)), Overcommit: -1})
-	r.SetTargets(0, []Spec{{Name: "near-1", Slots: 4}, {Name: "near-2", Slots: 4}, {Name: "far-1", Slots: 4, RoundTrip: travel}, {Name: "far-2", Slots: 4, RoundTrip: travel}})
+	r.SetTargets(0, []Spec{{Name: "near-1", Slots: 4}, {Name: "near-2", Slots: 4}, {Name: "far-1", Slots: 4, RoundTrip: roundTrip}, {Name: "far-2", Slots: 4, RoundTrip: roundTrip}})
 	now := time.Duration(0)
-	share := func(rounds int) float64 {
-		far := 0
+	remoteShare := func(rounds int) float64 {
+		remote := 0
 		for range rounds {
-			now += near
+			now += runTime
 			i := r.Pick(now, 0, NoTarget)
-			took := near
+			took := runTime
 			if r.Name(i)[:3] == "far" {
-				far++
-				took += travel
+				remote++
+				took += roundTrip
 			}
 			runRequest(r, now, i, took, Succeeded)
 			r.Tick(now)
 		}
-		return float64(far) / float64(rounds)
+		return float64(remote) / float64(rounds)
 	}
-	share(100)
-	is.True(share(1000) < 0.02)
-	is.Equal(len(r.Eligible(nil)), 4) // nobody was ejected
+	remoteShare(100)
+	is.True(remoteShare(1000) < 0.02)
+	is.Equal(len(r.Eligible(nil)), 4) // no target was ejected
 	for _, name := range []string{"near-1", "near-2"} {
 		r.Drain(now, r.Lookup(name), CauseHostListLeaving)
 	}
-	is.Equal(share(100), 1.0)
+	is.Equal(remoteShare(100), 1.0)
 	is.Equal(len(r.Eligible(nil)), 2)
 }
