--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -146,7 +146,7 @@
 			},
 			"abandon": func(t *rapid.T) {
 				if len(all) > 0 {
-					c.Cancel(all[rapid.IntRange(0, len(all)-1).Draw(t, "waiter")])
+					c.Cancel(all[rapid.IntRange(0, len(all)-1).Draw(t, "request")])
 				}
 			},
 			"tick": func(t *rapid.T) {
--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Class is the index of a priority class within one service.
+// Class is the index of a class of requests within one service. Classes share the queue in proportion to their weights.
 type Class int
 
 // Domain is the index of the failure domain that a request comes from.
