--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -2,33 +2,34 @@
 
 import "sync/atomic"
 
-// Class is the number of a class within one service.
+// Class is the index of a class of requests within one service. Classes share the queue in proportion to their weights.
 type Class int
 
-// Domain is the number of a caller's failure domain.
+// Domain is the index of the failure domain that a request comes from.
 type Domain int
 
-// Sizes of the table of counts.
+// Dimensions of CounterTable.
 const (
 	MaxClasses = 16
 	MaxDomains = 16
 )
 
-// Count is what one class of one failure domain did; every field only grows.
-type Count struct {
+// Counters counts the requests of one class and failure domain. All fields are cumulative and never reset.
+type Counters struct {
 	Offered, Admitted, Refused atomic.Int64
-	// Weighted is the sum of the weights of admitted requests.
+	// Weighted is the sum of the weights of the admitted requests.
 	Weighted atomic.Int64
 }
 
-// Counts holds a Count per class and failure domain in one flat table.
-type Counts struct {
-	table [MaxClasses * MaxDomains]Count
+// CounterTable holds the Counters of every class and failure domain. It is a fixed array, so that counting allocates
+// nothing.
+type CounterTable struct {
+	counters [MaxClasses * MaxDomains]Counters
 }
 
-// At returns the count of a class and failure domain; numbers beyond the table share its last row.
-func (c *Counts) At(class Class, domain Domain) *Count {
+// At returns the counters of a class and failure domain. Indices outside the table are clamped to its bounds.
+func (c *CounterTable) At(class Class, domain Domain) *Counters {
 	class = min(max(class, 0), MaxClasses-1)
 	domain = min(max(domain, 0), MaxDomains-1)
-	return &c.table[int(class)*MaxDomains+int(domain)]
+	return &c.counters[int(class)*MaxDomains+int(domain)]
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,4 +1,6 @@
-// Package admission lets requests of one service in: it binds them late to free slots, keeps a bounded weighted queue and refuses early.
+// Package admission implements admission control for the requests of one service. A request is assigned to a target
+// only once the target has a free slot; until then it waits in a bounded queue that classes share by weight. Requests
+// that cannot meet their deadline are refused at once rather than left to time out in the queue.
 package admission
 
 import (
@@ -7,227 +9,234 @@
 	"briarcroft/internal/route"
 )
 
-// Reason says why a request was refused; every refusal means that it was not run.
+// Reason says why a request was refused. A refused request has not been sent to any target.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons of refusals.
 const (
-	ReasonQueueFull   Reason = "QueueFull"
-	ReasonTooLate     Reason = "DeadlineCannotBeMet"
-	ReasonNoTargets   Reason = "NoTargets"
-	ReasonHigherShare Reason = "DisplacedByHigherShare"
+	ReasonQueueFull           Reason = "QueueFull"
+	ReasonDeadlineCannotBeMet Reason = "DeadlineCannotBeMet"
+	ReasonNoTargets           Reason = "NoTargets"
+	ReasonDisplaced           Reason = "DisplacedByHigherShare"
 )
 
-// Waiter is one request at the gate. The owner reads Bound once and must call Leave after a target was bound.
-type Waiter struct {
+// Request is one request submitted to a Controller. Once its decision is an *Assignment, the submitter must end it with
+// Controller.Finish.
+type Request struct {
 	Class  Class
 	Weight int
 	Domain Domain
-	// Deadline is the latest time for the answer, on the gate's clock.
+	// Deadline is the latest time for the response, on the clock that is passed to the Controller's methods.
 	Deadline time.Duration
-	// Avoid names a target not to use, for a retry; empty for none.
-	Avoid string
-	// Ready is signalled once when a waiter that had to wait is bound or refused; it needs room for one signal.
-	// It is nil when the owner looks at Verdict itself.
-	Ready chan struct{}
-
-	verdict        Verdict
-	bound          Bound
-	refused        Refused
-	previous, next *Waiter
-	queue          *fifo
-	// queued is set once the waiter has been in the queue; only then is Ready signalled.
-	queued bool
-}
-
-// Verdict is the gate's decision on a waiter: Waiting, Bound or Refused.
-type Verdict interface{ verdict() }
+	// ExcludedTarget is the name of a target that the request must not be assigned to, such as the one that just failed it.
+	// It is empty if there is none.
+	ExcludedTarget string
+	// Decided receives one value when a queued request is assigned or refused. It needs a buffer of one.
+	// It may be nil if the submitter polls Decision instead.
+	Decided chan struct{}
+
+	decision       Decision
+	assignment     Assignment
+	refusal        Refusal
+	previous, next *Request
+	classQueue     *classQueue
+	// wasQueued is set once the request has been queued. Decided is signalled only then, because Submit itself
+	// sets the decision of a request that is not queued.
+	wasQueued bool
+}
+
+// Decision is the state of a submitted request: Waiting, *Assignment or *Refusal.
+type Decision interface{ isDecision() }
 
 // Waiting means that the request is in the queue.
 type Waiting struct{}
 
-// Bound means that the request may go to the target now.
-type Bound struct {
+// Assignment is the decision to send the request to a target now. The request counts as in flight there until
+// Controller.Finish is called.
+type Assignment struct {
 	Target string
 	Index  route.Index
 	Start  time.Duration
 }
 
-// Refused means that the request will not be run.
-type Refused struct {
+// Refusal is the decision not to run the request.
+type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-func (Waiting) verdict()  {}
-func (*Bound) verdict()   {}
-func (*Refused) verdict() {}
+func (Waiting) isDecision()     {}
+func (*Assignment) isDecision() {}
+func (*Refusal) isDecision()    {}
 
-// Verdict returns the decision so far.
-func (w *Waiter) Verdict() Verdict { return w.verdict }
+// Decision returns the current decision on the request.
+func (r *Request) Decision() Decision { return r.decision }
 
-// Config sets up a Gate.
+// Config configures a Controller.
 type Config struct {
 	Router     *route.Router
 	QueueLimit int
 }
 
-// Gate joins one service's queue with its router. It is not safe for concurrent use.
-type Gate struct {
-	router   *route.Router
-	limit    int
-	queue    queue
-	Counts   Counts
-	overload bool
+// Controller admits the requests of one service: it queues them and assigns them to targets that its router picks.
+// It is not safe for concurrent use.
+type Controller struct {
+	router     *route.Router
+	queueLimit int
+	queue      queue
+	Counters   CounterTable
+	overloaded bool
 }
 
-// New returns an open gate.
-func New(c Config) *Gate {
-	return &Gate{router: c.Router, limit: c.QueueLimit}
+// New returns a Controller with an empty queue.
+func New(c Config) *Controller {
+	return &Controller{router: c.Router, queueLimit: c.QueueLimit}
 }
 
-// Router returns the router behind the gate.
-func (g *Gate) Router() *route.Router { return g.router }
+// Router returns the router that picks the targets.
+func (c *Controller) Router() *route.Router { return c.router }
 
-// SetQueueLimit changes the most requests that may wait.
-func (g *Gate) SetQueueLimit(limit int) { g.limit = limit }
+// SetQueueLimit sets the maximum number of queued requests. Requests that are queued already stay.
+func (c *Controller) SetQueueLimit(limit int) { c.queueLimit = limit }
 
-// Queued returns the number of waiting requests.
-func (g *Gate) Queued() int { return g.queue.size }
+// Queued returns the number of queued requests.
+func (c *Controller) Queued() int { return c.queue.size }
 
-// Overloaded reports whether the queue has refused lately and has not emptied since.
-func (g *Gate) Overloaded() bool { return g.overload }
+// Overloaded reports whether a request has been refused for lack of capacity since the queue was last empty.
+func (c *Controller) Overloaded() bool { return c.overloaded }
 
-// Enter offers a request; its verdict is set when Enter returns.
-func (g *Gate) Enter(now time.Duration, w *Waiter) {
-	count := g.Counts.At(w.Class, w.Domain)
-	count.Offered.Add(1)
-	w.verdict = Waiting{}
-	if g.router.Capacity(now) == 1 && len(g.router.Eligible(nil)) == 0 {
-		g.refuse(w, ReasonNoTargets, time.Second)
+// Submit assigns, queues or refuses a request. The decision is set when Submit returns.
+func (c *Controller) Submit(now time.Duration, r *Request) {
+	counters := c.Counters.At(r.Class, r.Domain)
+	counters.Offered.Add(1)
+	r.decision = Waiting{}
+	if c.router.Capacity(now) == 1 && len(c.router.Eligible(nil)) == 0 {
+		c.refuse(r, ReasonNoTargets, time.Second)
 		return
 	}
-	if g.queue.size == 0 && g.bind(now, w) {
+	if c.queue.size == 0 && c.assign(now, r) {
 		return
 	}
-	g.enqueue(now, w)
+	c.enqueue(now, r)
 }
 
-func (g *Gate) enqueue(now time.Duration, w *Waiter) {
-	wait := g.predictWait(now, g.queue.ahead(w.Class, w.Weight))
-	if now+wait+g.router.Usual() > w.Deadline {
-		g.overload = true
-		g.refuse(w, ReasonTooLate, wait)
+func (c *Controller) enqueue(now time.Duration, r *Request) {
+	wait := c.predictWait(now, c.queue.aheadOf(r.Class, r.Weight))
+	if now+wait+c.router.MeanLatency() > r.Deadline {
+		c.overloaded = true
+		c.refuse(r, ReasonDeadlineCannotBeMet, wait)
 		return
 	}
-	if g.queue.size < g.limit {
-		g.queue.push(w)
+	if c.queue.size < c.queueLimit {
+		c.queue.push(r)
 		return
 	}
-	g.overload = true
-	g.displace(now, w)
-}
-
-// displace makes room in a full queue by refusing the newest waiter of the class furthest over its share.
-func (g *Gate) displace(now time.Duration, w *Waiter) {
-	worst := g.queue.mostOverShare()
-	own := g.queue.class(w.Class)
-	weight := max(1, float64(w.Weight))
-	if worst == nil || worst == own || float64(own.size+1)/weight >= float64(worst.size)/worst.weight {
-		g.refuse(w, ReasonQueueFull, g.predictWait(now, g.queue.size))
+	c.overloaded = true
+	c.displace(now, r)
+}
+
+// displace makes room in a full queue by refusing the newest request of the class that is furthest over its share.
+// It refuses r instead if r belongs to that class or would put its own class as far over its share.
+func (c *Controller) displace(now time.Duration, r *Request) {
+	worst := c.queue.furthestOverShare()
+	ownQueue := c.queue.classQueue(r.Class)
+	weight := max(1, float64(r.Weight))
+	if worst == nil || worst == ownQueue || float64(ownQueue.size+1)/weight >= float64(worst.size)/worst.weight {
+		c.refuse(r, ReasonQueueFull, c.predictWait(now, c.queue.size))
 		return
 	}
-	victim := worst.tail
-	g.queue.remove(victim)
-	g.refuse(victim, ReasonHigherShare, g.predictWait(now, g.queue.size))
-	g.queue.push(w)
+	displaced := worst.tail
+	c.queue.remove(displaced)
+	c.refuse(displaced, ReasonDisplaced, c.predictWait(now, c.queue.size))
+	c.queue.push(r)
 }
 
-// predictWait returns how long the given number of waiters takes to be served.
-func (g *Gate) predictWait(now time.Duration, ahead int) time.Duration {
-	usual := g.router.Usual()
-	if usual == 0 {
+// predictWait estimates the time until a request with the given number of requests ahead of it is assigned.
+func (c *Controller) predictWait(now time.Duration, ahead int) time.Duration {
+	meanLatency := c.router.MeanLatency()
+	if meanLatency == 0 {
 		return 0
 	}
-	return usual * time.Duration(ahead+1) / time.Duration(g.router.Capacity(now))
+	return meanLatency * time.Duration(ahead+1) / time.Duration(c.router.Capacity(now))
 }
 
-func (g *Gate) refuse(w *Waiter, reason Reason, retryAfter time.Duration) {
-	g.Counts.At(w.Class, w.Domain).Refused.Add(1)
-	w.refused = Refused{reason, retryAfter}
-	w.verdict = &w.refused
-	w.signal()
+func (c *Controller) refuse(r *Request, reason Reason, retryAfter time.Duration) {
+	c.Counters.At(r.Class, r.Domain).Refused.Add(1)
+	r.refusal = Refusal{reason, retryAfter}
+	r.decision = &r.refusal
+	r.signal()
 }
 
-func (w *Waiter) signal() {
-	if w.queued && w.Ready != nil {
-		w.Ready <- struct{}{}
+func (r *Request) signal() {
+	if r.wasQueued && r.Decided != nil {
+		r.Decided <- struct{}{}
 	}
 }
 
-// bind hands the waiter to a target and reports whether one was free.
-func (g *Gate) bind(now time.Duration, w *Waiter) bool {
-	avoid := route.None
-	if w.Avoid != "" {
-		avoid = g.router.Lookup(w.Avoid)
+// assign assigns the request to a target and reports whether the router found one with a free slot.
+func (c *Controller) assign(now time.Duration, r *Request) bool {
+	excluded := route.NoTarget
+	if r.ExcludedTarget != "" {
+		excluded = c.router.Lookup(r.ExcludedTarget)
 	}
-	i := g.router.Pick(now, g.queue.size, avoid)
-	if i == route.None {
+	i := c.router.Pick(now, c.queue.size, excluded)
+	if i == route.NoTarget {
 		return false
 	}
-	g.router.Start(now, i)
-	count := g.Counts.At(w.Class, w.Domain)
-	count.Admitted.Add(1)
-	count.Weighted.Add(int64(w.Weight))
-	w.bound = Bound{g.router.Name(i), i, now}
-	w.verdict = &w.bound
-	w.signal()
+	c.router.Start(now, i)
+	counters := c.Counters.At(r.Class, r.Domain)
+	counters.Admitted.Add(1)
+	counters.Weighted.Add(int64(r.Weight))
+	r.assignment = Assignment{c.router.Name(i), i, now}
+	r.decision = &r.assignment
+	r.signal()
 	return true
 }
 
-// Leave ends a bound request that took so long to its answer, and binds waiters to what became free.
-func (g *Gate) Leave(now time.Duration, b *Bound, took time.Duration, outcome route.Outcome) {
-	if i := g.router.Lookup(b.Target); i != route.None {
-		g.router.Finish(now, i, b.Start, took, outcome)
+// Finish ends an assigned request and assigns queued requests to the slots that became free.
+// Latency is the time from the assignment to the response.
+func (c *Controller) Finish(now time.Duration, a *Assignment, latency time.Duration, outcome route.Outcome) {
+	if i := c.router.Lookup(a.Target); i != route.NoTarget {
+		c.router.Finish(now, i, a.Start, latency, outcome)
 	}
-	g.Dispatch(now)
+	c.Dispatch(now)
 }
 
-// Abandon takes a waiter out of the queue; it does nothing once the waiter is bound or refused.
-func (g *Gate) Abandon(w *Waiter) {
-	if w.queue != nil {
-		g.queue.remove(w)
+// Cancel removes a request from the queue. It does nothing once the request is assigned or refused.
+func (c *Controller) Cancel(r *Request) {
+	if r.classQueue != nil {
+		c.queue.remove(r)
 	}
 }
 
-// Dispatch binds waiters while targets are free and refuses those whose deadline cannot be met.
-func (g *Gate) Dispatch(now time.Duration) {
-	g.dropExpired(now)
-	for g.queue.size > 0 {
-		f := g.queue.next()
-		w := f.head
-		if !g.bind(now, w) {
+// Dispatch refuses queued requests whose deadline can no longer be met and assigns the others while slots are free.
+func (c *Controller) Dispatch(now time.Duration) {
+	c.refuseExpired(now)
+	for c.queue.size > 0 {
+		class := c.queue.next()
+		r := class.head
+		if !c.assign(now, r) {
 			return
 		}
-		g.queue.remove(w)
-		g.queue.served(f)
+		c.queue.remove(r)
+		c.queue.advance(class)
 	}
-	g.overload = false
+	c.overloaded = false
 }
 
-func (g *Gate) dropExpired(now time.Duration) {
-	need := g.router.Usual()
-	for _, f := range g.queue.classes {
-		for w := f.expired(now, need); w != nil; w = f.expired(now, need) {
-			g.queue.remove(w)
-			g.overload = true
-			g.refuse(w, ReasonTooLate, g.predictWait(now, g.queue.size))
+func (c *Controller) refuseExpired(now time.Duration) {
+	meanLatency := c.router.MeanLatency()
+	for _, class := range c.queue.classes {
+		for r := class.firstExpired(now, meanLatency); r != nil; r = class.firstExpired(now, meanLatency) {
+			c.queue.remove(r)
+			c.overloaded = true
+			c.refuse(r, ReasonDeadlineCannotBeMet, c.predictWait(now, c.queue.size))
 		}
 	}
 }
 
-// Tick runs the router's timers and dispatches; call it several times a second.
-func (g *Gate) Tick(now time.Duration) {
-	g.router.Tick(now)
-	g.Dispatch(now)
+// Tick runs the router's timers and dispatches queued requests. It must be called several times a second.
+func (c *Controller) Tick(now time.Duration) {
+	c.router.Tick(now)
+	c.Dispatch(now)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,119 +2,123 @@
 
 import "time"
 
-// fifo is a queue of waiters of one class, linked through the waiters so that it allocates nothing.
-type fifo struct {
-	head, tail *Waiter
+// classQueue is the FIFO queue of one class. It is an intrusive list of the requests, so that queuing allocates
+// nothing.
+type classQueue struct {
+	head, tail *Request
 	size       int
-	// pass is the class's virtual time in stride scheduling; the least goes next.
-	pass   float64
-	weight float64
+	// virtualTime is the class's pass value in stride scheduling; the class with the least is served next.
+	virtualTime float64
+	weight      float64
 }
 
-func (f *fifo) push(w *Waiter) {
-	w.previous, w.next = f.tail, nil
-	if f.tail == nil {
-		f.head = w
+func (c *classQueue) push(r *Request) {
+	r.previous, r.next = c.tail, nil
+	if c.tail == nil {
+		c.head = r
 	} else {
-		f.tail.next = w
+		c.tail.next = r
 	}
-	f.tail = w
-	f.size++
-	w.queue, w.queued = f, true
+	c.tail = r
+	c.size++
+	r.classQueue, r.wasQueued = c, true
 }
 
-func (f *fifo) remove(w *Waiter) {
-	if w.previous == nil {
-		f.head = w.next
+func (c *classQueue) remove(r *Request) {
+	if r.previous == nil {
+		c.head = r.next
 	} else {
-		w.previous.next = w.next
+		r.previous.next = r.next
 	}
-	if w.next == nil {
-		f.tail = w.previous
+	if r.next == nil {
+		c.tail = r.previous
 	} else {
-		w.next.previous = w.previous
+		r.next.previous = r.previous
 	}
-	w.previous, w.next, w.queue = nil, nil, nil
-	f.size--
+	r.previous, r.next, r.classQueue = nil, nil, nil
+	c.size--
 }
 
-// queue holds the waiters of one service, shared among classes by weight. It is not safe for concurrent use.
+// queue holds the queued requests of one service and serves its classes in proportion to their weights by stride
+// scheduling. It is not safe for concurrent use.
 type queue struct {
-	classes []*fifo
+	classes []*classQueue
 	size    int
-	// clock is the pass of the class served last; a class that wakes up starts there.
-	clock float64
+	// virtualTime is that of the class served last. A class that was empty starts from it, so that it gets no credit
+	// for the time when it had no requests.
+	virtualTime float64
 }
 
-func (q *queue) class(i Class) *fifo {
+func (q *queue) classQueue(i Class) *classQueue {
 	for len(q.classes) <= int(i) {
-		q.classes = append(q.classes, &fifo{weight: 1})
+		q.classes = append(q.classes, &classQueue{weight: 1})
 	}
 	return q.classes[i]
 }
 
-func (q *queue) push(w *Waiter) {
-	f := q.class(w.Class)
-	f.weight = max(1, float64(w.Weight))
-	if f.size == 0 {
-		f.pass = max(f.pass, q.clock)
+func (q *queue) push(r *Request) {
+	c := q.classQueue(r.Class)
+	c.weight = max(1, float64(r.Weight))
+	if c.size == 0 {
+		c.virtualTime = max(c.virtualTime, q.virtualTime)
 	}
-	f.push(w)
+	c.push(r)
 	q.size++
 }
 
-func (q *queue) remove(w *Waiter) {
-	w.queue.remove(w)
+func (q *queue) remove(r *Request) {
+	r.classQueue.remove(r)
 	q.size--
 }
 
-// next returns the class to serve next, or nil when nothing waits.
-func (q *queue) next() *fifo {
-	var best *fifo
-	for _, f := range q.classes {
-		if f.size > 0 && (best == nil || f.pass < best.pass) {
-			best = f
+// next returns the class to serve next, or nil if the queue is empty.
+func (q *queue) next() *classQueue {
+	var best *classQueue
+	for _, c := range q.classes {
+		if c.size > 0 && (best == nil || c.virtualTime < best.virtualTime) {
+			best = c
 		}
 	}
 	return best
 }
 
-// served moves a class on after one of its waiters was served.
-func (q *queue) served(f *fifo) {
-	q.clock = f.pass
-	f.pass += 1 / f.weight
+// advance advances the virtual time of a class after one of its requests was assigned.
+func (q *queue) advance(c *classQueue) {
+	q.virtualTime = c.virtualTime
+	c.virtualTime += 1 / c.weight
 }
 
-// mostOverShare returns the class that holds the most waiters for its weight.
-func (q *queue) mostOverShare() *fifo {
-	var worst *fifo
-	for _, f := range q.classes {
-		if f.size > 0 && (worst == nil || float64(f.size)/f.weight > float64(worst.size)/worst.weight) {
-			worst = f
+// furthestOverShare returns the class with the most queued requests per weight, or nil if the queue is empty.
+func (q *queue) furthestOverShare() *classQueue {
+	var worst *classQueue
+	for _, c := range q.classes {
+		if c.size > 0 && (worst == nil || float64(c.size)/c.weight > float64(worst.size)/worst.weight) {
+			worst = c
 		}
 	}
 	return worst
 }
 
-// ahead returns how many waiters would be served before a new one of the class.
-func (q *queue) ahead(class Class, weight int) int {
-	own := q.class(class)
-	share := float64(own.size+1) / max(1, float64(weight))
+// aheadOf returns how many queued requests would be served before a new request of the class.
+func (q *queue) aheadOf(class Class, weight int) int {
+	ownQueue := q.classQueue(class)
+	share := float64(ownQueue.size+1) / max(1, float64(weight))
 	sum := 0.0
-	for _, f := range q.classes {
-		if f == own {
-			sum += float64(f.size)
+	for _, c := range q.classes {
+		if c == ownQueue {
+			sum += float64(c.size)
 			continue
 		}
-		sum += min(float64(f.size), share*f.weight)
+		sum += min(float64(c.size), share*c.weight)
 	}
 	return int(sum)
 }
 
-// expired returns a waiter whose deadline cannot be met any more, or nil.
-func (f *fifo) expired(now, need time.Duration) *Waiter {
-	if f.head != nil && f.head.Deadline < now+need {
-		return f.head
+// firstExpired returns the request at the head of the queue if it cannot be answered before its deadline within
+// minRemaining, or nil.
+func (c *classQueue) firstExpired(now, minRemaining time.Duration) *Request {
+	if c.head != nil && c.head.Deadline < now+minRemaining {
+		return c.head
 	}
 	return nil
 }
--- a/internal/entry/counts.go
+++ b/internal/entry/counts.go
@@ -113,7 +113,7 @@
 	counts := map[string]int{}
 	for _, service := range h.dispatcher.Services() {
 		if shared[service.Name()] {
-			service.InFlight(func(target string, n int) { counts[target] = n })
+			service.ForEachInFlight(func(target string, n int) { counts[target] = n })
 		}
 	}
 	changed := len(counts) != len(last)
@@ -169,7 +169,7 @@
 	started := time.Now()
 	h.peerCounts.store(h.now(), r)
 	for _, service := range h.dispatcher.Services() {
-		service.TakePeerCounts(r.Targets, func(target string) int { return h.peerCounts.sum(h.now(), target) })
+		service.SetPeerInFlight(r.Targets, func(target string) int { return h.peerCounts.sum(h.now(), target) })
 	}
 	h.budget.Charge(h.now(), time.Since(started))
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -23,7 +23,7 @@
 			if service == nil {
 				continue
 			}
-			requests := service.Requests()
+			requests := service.RequestCount()
 			rate := float64(requests-last[spec.Name]) / demandInterval.Seconds()
 			last[spec.Name] = requests
 			demand.Observe(h.now(), spec.Name, rate, host.Wanted(spec.Name, spec.Homes, live))
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -79,7 +79,7 @@
 	archive        *note.Archive
 	membership     *host.Table
 	heartbeats     *inner.Heartbeats
-	dispatcher     *steering.Steering
+	dispatcher     *steering.Dispatcher
 	idempotency    *claim.Table
 	sealedTables   *claim.Sealed
 	tableAssembler *tableAssembler
@@ -174,7 +174,7 @@
 	h.records, closeBook = record.New(record.Config{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
 	h.client, closeClient = inner.NewClient(inner.ClientConfig{TLS: h.peerTLS, Dial: h.config.Dial})
 	h.dispatcher, closeSteering = steering.New(steering.Config{
-		Book: h.records, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.triggerHeartbeat, Dial: h.config.Dial,
+		Records: h.records, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.triggerHeartbeat, Dial: h.config.Dial,
 	})
 	h.archive = note.NewArchive(note.ArchiveConfig{Store: h.config.Store})
 	h.idempotency = claim.New(claim.Config{
--- a/internal/entry/hostlist.go
+++ b/internal/entry/hostlist.go
@@ -26,9 +26,9 @@
 		case service == nil:
 			// A note that came into force meanwhile has removed the service.
 		case addresses[t.Address]:
-			service.Drain(t.Name, route.CauseLeaving)
+			service.Drain(t.Name, route.CauseHostListLeaving)
 		case previous[t.Address]:
-			service.Undrain(t.Name, route.CauseListed)
+			service.Undrain(t.Name, route.CauseHostListLive)
 		}
 	}
 	return addresses
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -102,7 +102,7 @@
 	return http.StatusGatewayTimeout
 }
 
-func storedResponse(a claim.Answer) *steering.Answer {
+func storedResponse(a claim.Answer) *steering.Response {
 	return bufferedResponse(a.Status, headerFromFields(a.Fields), a.Body)
 }
 
@@ -140,7 +140,7 @@
 		return &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "NoRule"}
 	}
 	result := service.Run(ctx, r)
-	response, isResponse := result.(*steering.Answer)
+	response, isResponse := result.(*steering.Response)
 	if !isResponse {
 		refusal, _ := result.(*steering.Refusal)
 		h.recordRefused(key, refusal)
@@ -232,8 +232,8 @@
 }
 
 // bufferedResponse returns a response whose body is already in memory.
-func bufferedResponse(status int, header http.Header, body []byte) *steering.Answer {
-	return &steering.Answer{
-		Status: status, Header: header, Body: io.NopCloser(bytes.NewReader(body)), Text: body, Length: int64(len(body)), Whole: true,
+func bufferedResponse(status int, header http.Header, body []byte) *steering.Response {
+	return &steering.Response{
+		Status: status, Header: header, Body: io.NopCloser(bytes.NewReader(body)), Content: body, Length: int64(len(body)), Buffered: true,
 	}
 }
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -108,7 +108,7 @@
 	if head.Number <= previous {
 		return
 	}
-	h.dispatcher.Adopt(configuration)
+	h.dispatcher.Apply(configuration)
 	h.inForceSince.Store(time.Now().UnixMilli())
 	h.membership.SetNote(head.Number)
 	h.records.Add(record.Record{
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -112,7 +112,7 @@
 	deadline, _ := ctx.Deadline()
 	request := &steering.Request{
 		Method: r.Method, Host: r.Host, URI: r.Uri, Header: header, Body: r.Body, Length: int64(len(r.Body)), Rule: rule,
-		Domain: header.Get(steering.HeaderDomain), Deadline: deadline, Allowance: retryAllowance(header),
+		Domain: header.Get(steering.HeaderDomain), Deadline: deadline, RetryAllowance: retryAllowance(header),
 	}
 	request.Fingerprint = fingerprint(request)
 	return request, true
@@ -132,7 +132,7 @@
 	switch result := result.(type) {
 	case *steering.Refusal:
 		writeRefusal(w, result)
-	case *steering.Answer:
+	case *steering.Response:
 		defer result.Body.Close()
 		w.header, w.status = result.Header, result.Status
 		if result.Outcome != "" {
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -36,7 +36,7 @@
 	request := &steering.Request{
 		Method: r.Method, Host: r.Host, URI: r.URL.RequestURI(), Header: forwardedHeader(r), Rule: rule, Length: r.ContentLength,
 		Idempotent: rule.IsIdempotent(r.Method), Domain: r.Header.Get(steering.HeaderDomain),
-		Deadline: arrived.Add(requestTimeout(r, rule.Deadline)), Allowance: retryAllowance(r.Header),
+		Deadline: arrived.Add(requestTimeout(r, rule.Deadline)), RetryAllowance: retryAllowance(r.Header),
 	}
 	if request.Domain == "" {
 		request.Domain = f.host.settings.Host.Domain
@@ -108,7 +108,7 @@
 // retryAllowance returns the number of further attempts that the request may make: the one of the caller's header, at most
 // the default.
 func retryAllowance(header http.Header) int {
-	if n, err := strconv.Atoi(header.Get(steering.HeaderAllowance)); err == nil && n >= 0 {
+	if n, err := strconv.Atoi(header.Get(steering.HeaderRetryAllowance)); err == nil && n >= 0 {
 		return min(n, defaultRetryAllowance)
 	}
 	return defaultRetryAllowance
--- a/internal/entry/through_test.go
+++ b/internal/entry/through_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	h.dispatcher.Adopt(configuration)
+	h.dispatcher.Apply(configuration)
 	done := make(chan error, 1)
 	go func() { done <- h.callerServer.Serve(listener) }()
 	defer func() { _ = h.callerServer.Close(); <-done }()
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -18,12 +18,12 @@
 	switch result := result.(type) {
 	case *steering.Refusal:
 		f.writeRefusal(w, result)
-	case *steering.Answer:
+	case *steering.Response:
 		f.writeResponse(w, result)
 	}
 }
 
-func (f *frontend) writeResponse(w http.ResponseWriter, a *steering.Answer) {
+func (f *frontend) writeResponse(w http.ResponseWriter, a *steering.Response) {
 	defer a.Body.Close()
 	removeHopByHopHeaders(a.Header)
 	for name, values := range a.Header {
@@ -39,9 +39,9 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
 	}
 	w.WriteHeader(a.Status)
-	if a.Whole {
+	if a.Buffered {
 		// An error means that the caller has disconnected.
-		_, _ = w.Write(a.Text)
+		_, _ = w.Write(a.Content)
 		return
 	}
 	if err := copyBody(w, a.Body, a.Length < 0); err != nil {
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -5,98 +5,103 @@
 	"time"
 )
 
-// Times and counts of ejection and slow start.
+// Parameters of slow start and of the ejection of unhealthy targets. A target is ejected for ejectDuration after
+// failuresToEject consecutive failures, or if its mean latency has been stragglerRatio times that of the service for
+// stragglerDelay.
 const (
-	rampTime         = 2 * time.Second
+	rampDuration     = 2 * time.Second
 	failuresToEject  = 3
-	ejectTime        = time.Second
-	longestEject     = 30 * time.Second
+	ejectDuration    = time.Second
+	maxEjectDuration = 30 * time.Second
 	stragglerRatio   = 3.0
-	stragglerPatient = time.Second
+	stragglerDelay   = time.Second
 )
 
-// SetTargets replaces the specs. Known targets keep what was learned; new ones ramp up unless the router was empty.
-// Targets that are gone start to drain and are forgotten when nothing is in flight.
+// SetTargets replaces the set of targets. Targets that remain keep their state and measurements; new ones start with
+// few requests and ramp up, unless the router was empty. Targets that are not in specs are drained, and removed once
+// they have no requests in flight.
 func (r *Router) SetTargets(now time.Duration, specs []Spec) {
-	first := len(r.targets) == 0
-	named := map[string]bool{}
+	initial := len(r.targets) == 0
+	configured := map[string]bool{}
 	for _, spec := range specs {
-		named[spec.Name] = true
+		configured[spec.Name] = true
 		if i, known := r.byName[spec.Name]; known {
-			r.respec(now, r.targets[i], spec)
+			r.updateSpec(now, r.targets[i], spec)
 			continue
 		}
-		r.add(now, spec, first)
+		r.add(now, spec, initial)
 	}
 	for _, t := range r.targets {
-		if !named[t.spec.Name] && t.cause != CauseWithdrawn {
-			r.move(now, t, Draining, CauseWithdrawn)
+		if !configured[t.spec.Name] && t.stateCause != CauseWithdrawn {
+			r.setState(now, t, Draining, CauseWithdrawn)
 		}
 	}
-	r.forget()
+	r.removeWithdrawn()
 }
 
-func (r *Router) respec(now time.Duration, t *target, spec Spec) {
+func (r *Router) updateSpec(now time.Duration, t *target, spec Spec) {
 	if spec.RoundTrip == 0 {
 		spec.RoundTrip = t.spec.RoundTrip
 	}
 	t.spec = spec
-	if t.cause == CauseWithdrawn {
-		r.move(now, t, Ramping, CauseAdded)
+	if t.stateCause == CauseWithdrawn {
+		r.setState(now, t, Ramping, CauseAdded)
 	}
 }
 
-func (r *Router) add(now time.Duration, spec Spec, first bool) {
-	t := &target{spec: spec, state: Absent, since: now, slowSince: -1, starts: make([]time.Duration, 0, 2*spec.Slots+2)}
+func (r *Router) add(now time.Duration, spec Spec, initial bool) {
+	t := &target{spec: spec, state: Absent, stateSince: now, slowSince: -1, starts: make([]time.Duration, 0, 2*spec.Slots+2)}
 	r.byName[spec.Name] = Index(len(r.targets))
 	r.targets = append(r.targets, t)
 	state := Ramping
-	if first {
+	if initial {
 		state = Live
 	}
-	r.move(now, t, state, CauseAdded)
+	r.setState(now, t, state, CauseAdded)
 }
 
-// forget drops withdrawn targets that hold no requests; indexes of the others may change.
-func (r *Router) forget() {
-	gone := func(t *target) bool { return t.cause == CauseWithdrawn && len(t.starts) == 0 }
-	if !slices.ContainsFunc(r.targets, gone) {
+// removeWithdrawn removes withdrawn targets without requests in flight. The indices of other targets may change.
+func (r *Router) removeWithdrawn() {
+	removable := func(t *target) bool { return t.stateCause == CauseWithdrawn && len(t.starts) == 0 }
+	if !slices.ContainsFunc(r.targets, removable) {
 		return
 	}
-	r.targets = slices.DeleteFunc(r.targets, gone)
+	r.targets = slices.DeleteFunc(r.targets, removable)
 	clear(r.byName)
 	for i, t := range r.targets {
 		r.byName[t.spec.Name] = Index(i)
 	}
 }
 
-// Drain stops new requests to a target that is leaving.
+// Drain stops sending new requests to a target. Requests in flight are not interrupted.
 func (r *Router) Drain(now time.Duration, i Index, cause Cause) {
 	if t := r.targets[i]; t.state != Draining {
-		r.move(now, t, Draining, cause)
+		r.setState(now, t, Draining, cause)
 	}
 }
 
-// Undrain lets a target that was drained by the host list or by reports ramp up again.
+// Undrain lets a draining target ramp up again, unless it was withdrawn from the configuration.
 func (r *Router) Undrain(now time.Duration, i Index, cause Cause) {
-	if t := r.targets[i]; t.state == Draining && t.cause != CauseWithdrawn {
-		r.move(now, t, Ramping, cause)
+	if t := r.targets[i]; t.state == Draining && t.stateCause != CauseWithdrawn {
+		r.setState(now, t, Ramping, cause)
 	}
 }
 
-// eject takes a target out for a time that grows with each ejection in a row; the floor of targets stays in.
+// eject stops sending requests to a target for a time that doubles with each consecutive ejection, up to
+// maxEjectDuration. It does nothing if too few targets would remain.
 func (r *Router) eject(now time.Duration, t *target, cause Cause) {
-	if t.state == Ejected || t.state == Draining || !r.maySpare() {
+	if t.state == Ejected || t.state == Draining || !r.mayEject() {
 		return
 	}
-	length := min(longestEject, ejectTime<<min(t.ejections, 5))
+	duration := min(maxEjectDuration, ejectDuration<<min(t.ejections, 5))
 	t.ejections++
-	t.until = now + length
-	r.move(now, t, Ejected, cause)
+	t.ejectedUntil = now + duration
+	r.setState(now, t, Ejected, cause)
 }
 
-// maySpare reports whether one more target can be ejected: at least half of those not draining stay in.
-func (r *Router) maySpare() bool {
+// mayEject reports whether one more target can be ejected: at least one target, and at least half of those that are not
+// draining, must stay eligible.
+func (r *Router) mayEject() bool {
 	eligible, total := 0, 0
 	for _, t := range r.targets {
 		switch t.state {
@@ -111,27 +116,28 @@
 	return eligible > 1 && 2*(eligible-1) >= total
 }
 
-// Tick ends ejections and ramps and ejects stragglers; call it several times a second.
+// Tick ends ejections and slow starts that are due, ejects stragglers and removes withdrawn targets. It must be called
+// several times a second.
 func (r *Router) Tick(now time.Duration) {
 	for _, t := range r.targets {
 		switch {
-		case t.state == Ejected && now >= t.until:
-			t.failures, t.slow, t.fast, t.slowSince = 0, 0, 0, -1
-			r.move(now, t, Ramping, CauseReturn)
-		case t.state == Ramping && now-t.since >= rampTime:
-			r.move(now, t, Live, CauseRamped)
+		case t.state == Ejected && now >= t.ejectedUntil:
+			t.consecutiveFailures, t.slowMean, t.fastMean, t.slowSince = 0, 0, 0, -1
+			r.setState(now, t, Ramping, CauseEjectionEnded)
+		case t.state == Ramping && now-t.stateSince >= rampDuration:
+			r.setState(now, t, Live, CauseRampEnded)
 		case t.state == Live:
 			r.checkStraggler(now, t)
 		}
 	}
-	r.forget()
+	r.removeWithdrawn()
 }
 
 func (r *Router) checkStraggler(now time.Duration, t *target) {
-	// Travel is no fault of the target: one in another region is far, not slow.
-	if r.usual == 0 || t.slow-t.spec.RoundTrip.Seconds() < stragglerRatio*r.usual || now-t.updated > slowHorizon {
+	// Network time is subtracted, so that a target in another region is not taken for a straggler.
+	if r.meanLatency == 0 || t.slowMean-t.spec.RoundTrip.Seconds() < stragglerRatio*r.meanLatency || now-t.latencyAt > slowTimeConstant {
 		t.slowSince = -1
-		if now-t.since > longestEject {
+		if now-t.stateSince > maxEjectDuration {
 			t.ejections = 0
 		}
 		return
@@ -139,42 +145,43 @@
 	if t.slowSince < 0 {
 		t.slowSince = now
 	}
-	if now-t.slowSince >= stragglerPatient {
+	if now-t.slowSince >= stragglerDelay {
 		r.eject(now, t, CauseStraggler)
 	}
 }
 
-func (r *Router) move(now time.Duration, t *target, to State, cause Cause) {
-	r.changes = append(r.changes, Change{
-		Target: t.spec.Name, From: t.state, To: to, Cause: cause, Failures: t.failures,
-		Latency: seconds(t.slow), Usual: seconds(r.usual),
+func (r *Router) setState(now time.Duration, t *target, to State, cause Cause) {
+	r.changes = append(r.changes, StateChange{
+		Target: t.spec.Name, From: t.state, To: to, Cause: cause, Failures: t.consecutiveFailures,
+		Latency: seconds(t.slowMean), MeanLatency: seconds(r.meanLatency),
 	})
-	t.state, t.cause, t.since = to, cause, now
+	t.state, t.stateCause, t.stateSince = to, cause, now
 }
 
-// TakeChanges returns the changes of state since the last call.
-func (r *Router) TakeChanges() []Change {
+// PopChanges returns the state changes since its last call.
+func (r *Router) PopChanges() []StateChange {
 	changes := r.changes
 	r.changes = nil
 	return changes
 }
 
-// Witness takes in what a target's report address says of its leaving. A target that drains by its own word returns
-// only when the same address first confirmed that and then took it back: one that never confirmed it lags or misleads.
-func (r *Router) Witness(now time.Duration, i Index, draining bool) {
+// ApplyProbe applies the draining flag that a probe of the target's report path returned. A target that is draining
+// because it said so in a response ramps up again only after a probe has first confirmed the draining and a later probe
+// has revoked it. A report path that has never confirmed the draining may be stale or wrong, so it is ignored.
+func (r *Router) ApplyProbe(now time.Duration, i Index, draining bool) {
 	t := r.targets[i]
 	switch {
 	case draining:
-		t.witnessed = true
-	case t.witnessed && t.state == Draining && (t.cause == CauseReport || t.cause == CauseRefusal):
-		t.witnessed = false
-		r.move(now, t, Ramping, CauseReport)
+		t.drainConfirmed = true
+	case t.drainConfirmed && t.state == Draining && (t.stateCause == CauseReportedDraining || t.stateCause == CauseRefusedAndClosed):
+		t.drainConfirmed = false
+		r.setState(now, t, Ramping, CauseReportedDraining)
 	}
 }
 
-// Settled reports whether no target waits for a timer or to be forgotten.
-func (r *Router) Settled() bool {
+// Stable reports whether no target is ramping up, ejected or waiting to be removed. Tick then has no timer to run.
+func (r *Router) Stable() bool {
 	return !slices.ContainsFunc(r.targets, func(t *target) bool {
-		return t.state == Ramping || t.state == Ejected || t.cause == CauseWithdrawn
+		return t.state == Ramping || t.state == Ejected || t.stateCause == CauseWithdrawn
 	})
 }
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -4,69 +4,72 @@
 	"time"
 )
 
-// Weights of a target's score.
+// Parameters of a target's score, which is its expected time to a response.
 const (
-	// patience is how many usual latencies a target's answer may take before waiting for another target is better.
-	patience   = 2.0
-	loadWeight = 0.1
-	tieWeight  = 0.02
-	// unknownLatency is taken in seconds for a target before anything is known.
-	unknownLatency = 1e-3
-	// usualGain is the weight of one latency in the service's usual one, which counts outliers only up to clipRatio.
-	usualGain = 0.02
-	clipRatio = 3
+	// maxScoreRatio is by how many mean latencies of the service a target's score may exceed the expected wait in the
+	// queue. Beyond it the request is better queued until a faster target has a free slot.
+	maxScoreRatio = 2.0
+	// loadWeight is the relative increase of the score at full load, tieBreakWeight that by the random part.
+	loadWeight     = 0.1
+	tieBreakWeight = 0.02
+	// defaultLatency is the latency in seconds that is assumed before any was measured.
+	defaultLatency = 1e-3
+	// meanLatencyGain is the weight of one latency in the service's moving mean. Latencies count there as at most
+	// outlierClipRatio times the mean, so that outliers do not distort it.
+	meanLatencyGain  = 0.02
+	outlierClipRatio = 3
 )
 
-// Pick returns the target to run one more request, or None when it is better to wait.
-// Queued is the number of requests that wait before this one; avoid is a target not to use, or None.
-func (r *Router) Pick(now time.Duration, queued int, avoid Index) Index {
-	best, bestScore := None, 0.0
+// Pick returns the target for one more request, or NoTarget if the request should wait.
+// Queued is the number of requests queued before it; excluded is a target not to use, or NoTarget.
+func (r *Router) Pick(now time.Duration, queued int, excluded Index) Index {
+	best, bestScore := NoTarget, 0.0
 	capacity, busy := 0, 0
-	extra := r.pressure(queued)
+	overcommit := r.backlogOvercommit(queued)
 	for i, t := range r.targets {
-		limit := t.limit(now, r.usual, r.config.Overcommit)
+		limit := t.inFlightLimit(now, r.meanLatency, r.config.Overcommit)
 		capacity += limit
 		busy += len(t.starts)
-		if limit == 0 || Index(i) == avoid {
+		if limit == 0 || Index(i) == excluded {
 			continue
 		}
-		load := t.load(now, r.usual)
-		if len(t.starts) >= limit+extra || load >= float64(limit+extra) && len(t.starts) > 0 {
+		load := t.load(now, r.meanLatency)
+		if len(t.starts) >= limit+overcommit || load >= float64(limit+overcommit) && len(t.starts) > 0 {
 			continue
 		}
-		if score := r.score(now, t, load); best == None || score < bestScore {
+		if score := r.score(now, t, load); best == NoTarget || score < bestScore {
 			best, bestScore = Index(i), score
 		}
 	}
-	if best == None || busy == 0 || r.usual == 0 {
+	if best == NoTarget || busy == 0 || r.meanLatency == 0 {
 		return best
 	}
-	wait := r.usual * float64(queued+1) / float64(capacity)
-	if bestScore > patience*r.usual+wait {
-		return None
+	wait := r.meanLatency * float64(queued+1) / float64(capacity)
+	if bestScore > maxScoreRatio*r.meanLatency+wait {
+		return NoTarget
 	}
 	return best
 }
 
-// pressure returns how many more requests than usual a target may hold while others wait:
-// a slot that idles while an answer travels costs more then than a short wait at the target.
-func (r *Router) pressure(queued int) int {
+// backlogOvercommit returns how many requests beyond its limit a target may hold while requests are queued: a slot
+// that is idle while a response is on the network then costs more than a short wait at the target.
+func (r *Router) backlogOvercommit(queued int) int {
 	if queued == 0 {
 		return 0
 	}
 	return 1 + min(1, queued/(2*len(r.targets)))
 }
 
-// score returns the expected time to an answer in seconds, with a small random part to break ties.
+// score returns the expected time to a response in seconds, with a small random part to break ties.
 func (r *Router) score(now time.Duration, t *target, load float64) float64 {
-	estimate := t.estimate(now, r.usual)
+	estimate := t.estimateLatency(now, r.meanLatency)
 	if estimate == 0 {
-		estimate = unknownLatency
+		estimate = defaultLatency
 	}
 	slots := float64(t.spec.Slots)
 	wait := 0.0
-	if over := load + 1 - slots; over > 0 {
-		wait = t.untilFree(now, estimate) + estimate*(over-1)/slots
+	if excess := load + 1 - slots; excess > 0 {
+		wait = t.timeUntilSlotFree(now, estimate) + estimate*(excess-1)/slots
 	}
-	return wait + estimate*(1+loadWeight*load/slots+tieWeight*r.config.Random.Float64())
+	return wait + estimate*(1+loadWeight*load/slots+tieBreakWeight*r.config.Random.Float64())
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -1,4 +1,6 @@
-// Package route decides which target runs a request. It knows no sockets and no wall clock: callers pass the time in.
+// Package route picks the target for each request of a service. A target is one backend server of the service. The
+// package tracks the latency, load and health of the targets, ejects those that fail or are slow, and ramps new ones
+// up. It does no input or output and reads no clock: callers pass the time as a duration on a monotonic clock.
 package route
 
 import (
@@ -7,27 +9,29 @@
 	"time"
 )
 
-// Index names a target of a Router until its targets are next set.
+// Index identifies a target of a Router. It is valid until the next call of SetTargets or Tick, which may remove
+// targets.
 type Index int
 
-// None is the Index of no target.
-const None Index = -1
+// NoTarget is the Index that stands for no target.
+const NoTarget Index = -1
 
-// Config sets up a Router.
+// Config configures a Router.
 type Config struct {
 	Random *rand.Rand
-	// Overcommit is the number of requests beyond its slots that a target may hold; negative means by round trip.
+	// Overcommit is the number of requests beyond its slots that a target may hold. If it is negative, the number is
+	// computed from the target's round-trip time.
 	Overcommit int
 }
 
-// Router holds one entry host's knowledge of one service's targets. It is not safe for concurrent use.
+// Router holds the state of one service's targets as one entry host sees them. It is not safe for concurrent use.
 type Router struct {
 	config  Config
 	targets []*target
 	byName  map[string]Index
-	// usual is the service's moving mean latency in seconds, with outliers clipped.
-	usual   float64
-	changes []Change
+	// meanLatency is the service's moving mean latency in seconds, with outliers clipped; 0 means none was measured.
+	meanLatency float64
+	changes     []StateChange
 }
 
 // New returns a Router without targets.
@@ -35,109 +39,112 @@
 	return &Router{config: c, byName: map[string]Index{}}
 }
 
-// Lookup returns the index of a target by name, or None.
+// Lookup returns the index of the target of that name, or NoTarget.
 func (r *Router) Lookup(name string) Index {
 	if i, known := r.byName[name]; known {
 		return i
 	}
-	return None
+	return NoTarget
 }
 
 // Name returns the name of a target.
 func (r *Router) Name(i Index) string { return r.targets[i].spec.Name }
 
-// Size returns the number of targets known, whatever their state.
+// Size returns the number of targets in any state.
 func (r *Router) Size() int { return len(r.targets) }
 
-// Usual returns the service's usual latency.
-func (r *Router) Usual() time.Duration { return seconds(r.usual) }
+// MeanLatency returns the service's moving mean latency, with outliers clipped, or 0 if none was measured.
+func (r *Router) MeanLatency() time.Duration { return seconds(r.meanLatency) }
 
-// Expected returns the latency to expect of a target now.
-func (r *Router) Expected(now time.Duration, i Index) time.Duration {
-	return seconds(r.targets[i].estimate(now, r.usual))
+// ExpectedLatency returns the latency to expect of a target now.
+func (r *Router) ExpectedLatency(now time.Duration, i Index) time.Duration {
+	return seconds(r.targets[i].estimateLatency(now, r.meanLatency))
 }
 
-// InFlight returns the number of own requests on a target.
+// InFlight returns the number of this host's requests in flight on a target.
 func (r *Router) InFlight(i Index) int { return len(r.targets[i].starts) }
 
-// Capacity returns how many requests all eligible targets may hold, at least 1.
+// Capacity returns how many requests all eligible targets together may hold, at least 1.
 func (r *Router) Capacity(now time.Duration) int {
 	sum := 0
 	for _, t := range r.targets {
-		sum += t.limit(now, r.usual, r.config.Overcommit)
+		sum += t.inFlightLimit(now, r.meanLatency, r.config.Overcommit)
 	}
 	return max(1, sum)
 }
 
-// Start notes that a request was handed to a target.
+// Start records that a request is sent to a target.
 func (r *Router) Start(now time.Duration, i Index) {
 	t := r.targets[i]
 	t.starts = append(t.starts, now)
 }
 
-// Finish notes the end of a request that started at the given time.
-// Took is the time to the answer; it may be less than the time since the start when the caller read slowly.
-func (r *Router) Finish(now time.Duration, i Index, start, took time.Duration, outcome Outcome) {
+// Finish records the end of a request that started at the given time.
+// Elapsed is the time to the response; it is less than the time since the start if the caller read the body slowly.
+func (r *Router) Finish(now time.Duration, i Index, start, elapsed time.Duration, outcome Outcome) {
 	t := r.targets[i]
-	t.finish(start)
-	t.lastFinish = now
-	latency := took.Seconds()
+	t.removeStart(start)
+	t.lastFinishAt = now
+	latency := elapsed.Seconds()
 	switch outcome {
 	case Succeeded:
-		t.failures = 0
-		r.learn(now, t, latency)
+		t.consecutiveFailures = 0
+		r.recordLatency(now, t, latency)
 	case Failed:
-		t.failures++
-		if t.failures >= failuresToEject {
+		t.consecutiveFailures++
+		if t.consecutiveFailures >= failuresToEject {
 			r.eject(now, t, CauseFailures)
 		}
 	case Abandoned:
-		if latency > t.estimate(now, r.usual) {
-			t.observe(now, latency)
+		if latency > t.estimateLatency(now, r.meanLatency) {
+			t.recordLatency(now, latency)
 		}
 	case Refused:
 	}
 }
 
-// learn takes the latency of a success into the target's and the service's means.
-func (r *Router) learn(now time.Duration, t *target, latency float64) {
-	t.observe(now, latency)
-	if r.usual == 0 {
-		r.usual = latency
+// recordLatency adds the latency of a successful request to the target's and the service's means.
+func (r *Router) recordLatency(now time.Duration, t *target, latency float64) {
+	t.recordLatency(now, latency)
+	if r.meanLatency == 0 {
+		r.meanLatency = latency
 		return
 	}
-	r.usual += (min(latency, clipRatio*r.usual) - r.usual) * usualGain
+	r.meanLatency += (min(latency, outlierClipRatio*r.meanLatency) - r.meanLatency) * meanLatencyGain
 }
 
-// TakeReport takes in a target's own word and reports whether it was believed.
-func (r *Router) TakeReport(now time.Duration, i Index, report Report) bool {
+// ApplyReport applies a target's load report and reports whether it was accepted. A fresh report of fewer requests than
+// this host alone has in flight contradicts it; the target's reports are then ignored for reportDistrustTime.
+func (r *Router) ApplyReport(now time.Duration, i Index, report LoadReport) bool {
 	t := r.targets[i]
 	if report.Draining {
-		r.Drain(now, i, CauseReport)
+		r.Drain(now, i, CauseReportedDraining)
 		return true
 	}
-	own := len(t.starts)
-	if report.Age < 5*time.Millisecond && report.InFlight+1 < own {
-		t.doubtUntil = now + doubtTime
+	inFlight := len(t.starts)
+	if report.Age < 5*time.Millisecond && report.InFlight+1 < inFlight {
+		t.distrustReportsUntil = now + reportDistrustTime
 	}
-	if now < t.doubtUntil {
+	if now < t.distrustReportsUntil {
 		return false
 	}
-	t.foreign = min(float64(max(0, report.InFlight-own)), 2*float64(t.spec.Slots))
-	t.foreignAt = now - report.Age
+	t.reportedLoad = min(float64(max(0, report.InFlight-inFlight)), 2*float64(t.spec.Slots))
+	t.reportedAt = now - report.Age
 	return true
 }
 
-// TakePeerCounts sets the sum of other entry hosts' requests in flight on a target.
-func (r *Router) TakePeerCounts(now time.Duration, i Index, inFlight int) {
+// SetPeerInFlight sets the number of requests that all other entry hosts have in flight on a target.
+func (r *Router) SetPeerInFlight(now time.Duration, i Index, inFlight int) {
 	t := r.targets[i]
-	t.peers, t.peersAt = float64(inFlight), now
+	t.peerInFlight, t.peerInFlightAt = float64(inFlight), now
 }
 
-// SetRoundTrip sets the network's share of a request's time on a target.
-func (r *Router) SetRoundTrip(i Index, trip time.Duration) { r.targets[i].spec.RoundTrip = trip }
+// SetRoundTrip sets the network's share of the latency of a target's requests.
+func (r *Router) SetRoundTrip(i Index, roundTrip time.Duration) {
+	r.targets[i].spec.RoundTrip = roundTrip
+}
 
-// Eligible appends the names of the targets that may get new requests.
+// Eligible appends the names of the targets that may get new requests to names.
 func (r *Router) Eligible(names []string) []string {
 	for _, t := range r.targets {
 		if t.state == Live || t.state == Ramping {
@@ -152,14 +159,14 @@
 // State returns the state of a target.
 func (r *Router) State(i Index) State { return r.targets[i].state }
 
-// LastNews returns when something was last learned of a target, or asked.
-func (r *Router) LastNews(i Index) time.Duration {
+// LastObserved returns when a target's latency was last measured or the target last probed, whichever is later.
+func (r *Router) LastObserved(i Index) time.Duration {
 	t := r.targets[i]
-	return max(t.updated, t.asked)
+	return max(t.latencyAt, t.probedAt)
 }
 
-// Asked notes that a target is being probed.
-func (r *Router) Asked(now time.Duration, i Index) { r.targets[i].asked = now }
+// MarkProbed records that a target is being probed.
+func (r *Router) MarkProbed(now time.Duration, i Index) { r.targets[i].probedAt = now }
 
 // Busy reports whether any request is in flight.
 func (r *Router) Busy() bool {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -19,35 +19,35 @@
 	return r
 }
 
-// one runs a request on a target from start to end.
-func one(r *Router, now time.Duration, i Index, took time.Duration, outcome Outcome) {
+// runRequest starts and finishes a request on a target.
+func runRequest(r *Router, now time.Duration, i Index, took time.Duration, outcome Outcome) {
 	r.Start(now, i)
 	r.Finish(now+took, i, now, took, outcome)
 }
 
-func TestEjectionLeavesAFloor(t *testing.T) {
+func TestEjectionKeepsHalfOfTargets(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(5)
 	for round := range 4 {
 		for i := range 5 {
-			one(r, time.Duration(round)*time.Millisecond, Index(i), time.Millisecond, Failed)
+			runRequest(r, time.Duration(round)*time.Millisecond, Index(i), time.Millisecond, Failed)
 		}
 	}
 	is.Equal(len(r.Eligible(nil)), 3) // at least half of five
 	for now := time.Second; now < 5*time.Second; now += 100 * time.Millisecond {
 		r.Tick(now)
 	}
-	is.Equal(len(r.Eligible(nil)), 5) // all are back
+	is.Equal(len(r.Eligible(nil)), 5) // all ejections have ended
 }
 
-func TestEjectionGrowsAndRampStartsSlow(t *testing.T) {
+func TestEjectionDoublesAndRampStartsWithOneRequest(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(4)
 	now := time.Duration(0)
 	var lengths []time.Duration
 	for range 3 {
 		for range failuresToEject {
-			one(r, now, 0, 0, Failed)
+			runRequest(r, now, 0, 0, Failed)
 		}
 		is.Equal(r.State(0), Ejected)
 		from := now
@@ -59,59 +59,59 @@
 	}
 	is.Equal(lengths, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second})
 	is.Equal(r.State(0), Ramping)
-	is.Equal(r.targets[0].limit(now, 0, 0), 1)
-	is.Equal(r.targets[0].limit(now+rampTime*3/4, 0, 0), 3)
-	r.Tick(now + rampTime)
+	is.Equal(r.targets[0].inFlightLimit(now, 0, 0), 1)
+	is.Equal(r.targets[0].inFlightLimit(now+rampDuration*3/4, 0, 0), 3)
+	r.Tick(now + rampDuration)
 	is.Equal(r.State(0), Live)
 }
 
-func TestStragglerIsEjectedAndExplained(t *testing.T) {
+func TestStragglerIsEjectedWithEvidence(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(4)
-	r.TakeChanges()
+	r.PopChanges()
 	for now := time.Duration(0); now < 4*time.Second && r.State(0) == Live; now += 20 * time.Millisecond {
 		for i := range 4 {
 			took := 10 * time.Millisecond
 			if i == 0 {
 				took = 100 * time.Millisecond
 			}
-			one(r, now, Index(i), took, Succeeded)
+			runRequest(r, now, Index(i), took, Succeeded)
 		}
 		r.Tick(now)
 	}
 	is.Equal(r.State(0), Ejected)
-	changes := r.TakeChanges()
+	changes := r.PopChanges()
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Cause, CauseStraggler)
-	is.True(changes[0].Latency > 3*changes[0].Usual)
+	is.True(changes[0].Latency > 3*changes[0].MeanLatency)
 }
 
-func TestLyingReportIsNotBelieved(t *testing.T) {
+func TestContradictoryReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
-	is.True(r.TakeReport(0, 0, Report{InFlight: 3}))
+	is.True(r.ApplyReport(0, 0, LoadReport{InFlight: 3}))
 	is.True(r.targets[0].load(0, 0.01) > 2.9)
-	is.True(r.targets[0].load(time.Second, 0.01) < 0.1) // old knowledge loses weight
+	is.True(r.targets[0].load(time.Second, 0.01) < 0.1) // old reports decay
 	for range 4 {
 		r.Start(0, 0)
 	}
-	is.True(!r.TakeReport(0, 0, Report{InFlight: 0}))             // four are in flight here alone
-	is.True(!r.TakeReport(5*time.Second, 0, Report{InFlight: 9})) // not believed for a while
-	is.True(r.TakeReport(11*time.Second, 0, Report{InFlight: 4}))
+	is.True(!r.ApplyReport(0, 0, LoadReport{InFlight: 0}))             // this host alone has four in flight
+	is.True(!r.ApplyReport(5*time.Second, 0, LoadReport{InFlight: 9})) // still ignored after the contradiction
+	is.True(r.ApplyReport(11*time.Second, 0, LoadReport{InFlight: 4}))
 }
 
-func TestDrainedTargetReturnsOnlyByItsWitness(t *testing.T) {
+func TestDrainedTargetReturnsOnlyAfterProbeConfirmedDraining(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
-	r.Drain(0, 0, CauseReport)
-	r.Witness(time.Second, 0, false) // an address that never confirmed the draining
+	r.Drain(0, 0, CauseReportedDraining)
+	r.ApplyProbe(time.Second, 0, false) // ignored: no probe has confirmed the draining
 	is.Equal(r.State(0), Draining)
-	r.Witness(2*time.Second, 0, true)
-	r.Witness(3*time.Second, 0, false)
+	r.ApplyProbe(2*time.Second, 0, true)
+	r.ApplyProbe(3*time.Second, 0, false)
 	is.Equal(r.State(0), Ramping)
 }
 
-func TestWithdrawnTargetIsForgottenWhenIdle(t *testing.T) {
+func TestWithdrawnTargetIsRemovedWhenIdle(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2)
 	r.Start(0, 0)
@@ -124,47 +124,47 @@
 	is.Equal(r.Lookup("1"), Index(0))
 }
 
-func TestBudgetIsARatioOfFirstTries(t *testing.T) {
+func TestRetryBudgetIsARatioOfRequests(t *testing.T) {
 	is := is.New(t)
-	b := NewBudget(BudgetConfig{Ratio: 0.1})
+	b := NewRetryBudget(RetryBudgetConfig{Ratio: 0.1})
 	for range 1000 {
-		b.First()
-		b.Take()
+		b.RecordRequest()
+		b.TrySpend()
 	}
-	is.True(b.Spent <= 100+budgetBurst)
+	is.True(b.Spent <= 100+maxBudgetTokens)
 	is.True(b.Spent >= 95)
 	is.Equal(b.Spent+b.Denied, int64(1000))
 }
 
-// TestFarTargetsAreASpare runs a service with targets in two regions: the far ones get work only when the near ones are
-// full or gone, and are not taken for stragglers.
-func TestFarTargetsAreASpare(t *testing.T) {
+// TestRemoteTargetsAreUsedOnlyAsFallback runs a service with targets in two regions. The remote ones must get requests
+// only when the near ones are full or drained, and must not be ejected as stragglers for their network delay.
+func TestRemoteTargetsAreUsedOnlyAsFallback(t *testing.T) {
 	is := is.New(t)
-	const near, travel = 10 * time.Millisecond, 60 * time.Millisecond
+	const runTime, roundTrip = 10 * time.Millisecond, 60 * time.Millisecond
 	r := New(Config{Random: rand.New(rand.NewPCG(1, 1)), Overcommit: -1})
-	r.SetTargets(0, []Spec{{Name: "near-1", Slots: 4}, {Name: "near-2", Slots: 4}, {Name: "far-1", Slots: 4, RoundTrip: travel}, {Name: "far-2", Slots: 4, RoundTrip: travel}})
+	r.SetTargets(0, []Spec{{Name: "near-1", Slots: 4}, {Name: "near-2", Slots: 4}, {Name: "far-1", Slots: 4, RoundTrip: roundTrip}, {Name: "far-2", Slots: 4, RoundTrip: roundTrip}})
 	now := time.Duration(0)
-	share := func(rounds int) float64 {
-		far := 0
+	remoteShare := func(rounds int) float64 {
+		remote := 0
 		for range rounds {
-			now += near
-			i := r.Pick(now, 0, None)
-			took := near
+			now += runTime
+			i := r.Pick(now, 0, NoTarget)
+			took := runTime
 			if r.Name(i)[:3] == "far" {
-				far++
-				took += travel
+				remote++
+				took += roundTrip
 			}
-			one(r, now, i, took, Succeeded)
+			runRequest(r, now, i, took, Succeeded)
 			r.Tick(now)
 		}
-		return float64(far) / float64(rounds)
+		return float64(remote) / float64(rounds)
 	}
-	share(100)
-	is.True(share(1000) < 0.02)
-	is.Equal(len(r.Eligible(nil)), 4) // nobody was ejected
+	remoteShare(100)
+	is.True(remoteShare(1000) < 0.02)
+	is.Equal(len(r.Eligible(nil)), 4) // no target was ejected
 	for _, name := range []string{"near-1", "near-2"} {
-		r.Drain(now, r.Lookup(name), CauseLeaving)
+		r.Drain(now, r.Lookup(name), CauseHostListLeaving)
 	}
-	is.Equal(share(100), 1.0)
+	is.Equal(remoteShare(100), 1.0)
 	is.Equal(len(r.Eligible(nil)), 2)
 }
--- a/internal/steering/probe.go
+++ b/internal/steering/probe.go
@@ -7,14 +7,15 @@
 	"briarcroft/internal/route"
 )
 
-// Limits of probing: targets without news for probeIdle are probed, and each request earns a part of a probe.
+// Limits of probing. Targets without an observation for probeIdleTime are probed. Each request adds probePerRequest to
+// the service's probe credit, up to maxProbeCredit, and each probe takes 1 from it.
 const (
-	probeIdle       = time.Second
+	probeIdleTime   = time.Second
 	probePerRequest = 0.05
 	maxProbeCredit  = 4.0
 )
 
-// Probe is one measurement that would help: the report of a target of which little is known.
+// Probe is a request for a target's load report that is due.
 type Probe struct {
 	Address string
 	Path    string
@@ -23,10 +24,11 @@
 	target  string
 }
 
-// Probes returns the targets whose report would help now: those out of service and those that have been idle.
-func (s *Steering) Probes() []Probe {
+// Probes returns the probes that are due: of targets that have had neither a response nor a probe for some time, as
+// idle, ejected and draining ones.
+func (d *Dispatcher) Probes() []Probe {
 	var list []Probe
-	for _, service := range s.Services() {
+	for _, service := range d.Services() {
 		list = append(list, service.probes()...)
 	}
 	return list
@@ -38,43 +40,43 @@
 	if s.spec.ReportPath == "" || s.probeCredit < 1 {
 		return nil
 	}
-	now := s.steering.config.Clock()
+	now := s.dispatcher.config.Clock()
 	var list []Probe
 	for name, pool := range s.pools {
-		i := s.gate.Router().Lookup(name)
-		if i == route.None || now-s.gate.Router().LastNews(i) < probeIdle || s.probeCredit < 1 {
+		i := s.admission.Router().Lookup(name)
+		if i == route.NoTarget || now-s.admission.Router().LastObserved(i) < probeIdleTime || s.probeCredit < 1 {
 			continue
 		}
 		s.probeCredit--
-		s.gate.Router().Asked(now, i)
+		s.admission.Router().MarkProbed(now, i)
 		list = append(list, Probe{pool.target.Address, s.spec.ReportPath, pool.target.Domain, s, name})
 	}
 	return list
 }
 
-// Take takes in the answer to a probe.
-func (p Probe) Take(report route.Report, status int) {
-	p.service.report(p.target, report)
+// Apply applies the load report and HTTP status that the target returned to the probe.
+func (p Probe) Apply(report route.LoadReport, status int) {
+	p.service.applyReport(p.target, report)
 	if status == http.StatusOK {
-		p.service.witness(p.target, report.Draining)
+		p.service.applyProbe(p.target, report.Draining)
 	}
 }
 
-// witness takes in what a target's report address says of its leaving.
-func (s *Service) witness(target string, draining bool) {
+// applyProbe applies the draining flag that a target's report path returned.
+func (s *Service) applyProbe(target string, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.gate.Router().Lookup(target); i != route.None {
-		s.gate.Router().Witness(s.steering.config.Clock(), i, draining)
+	if i := s.admission.Router().Lookup(target); i != route.NoTarget {
+		s.admission.Router().ApplyProbe(s.dispatcher.config.Clock(), i, draining)
 	}
-	s.explain(s.steering.note())
+	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// InFlight calls each with own requests in flight on the targets that have any.
-func (s *Service) InFlight(each func(target string, inFlight int)) {
+// ForEachInFlight calls each with the number of this host's requests in flight on every target that has any.
+func (s *Service) ForEachInFlight(each func(target string, inFlight int)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router := s.gate.Router()
+	router := s.admission.Router()
 	for i := range router.Size() {
 		if n := router.InFlight(route.Index(i)); n > 0 {
 			each(router.Name(route.Index(i)), n)
@@ -85,9 +87,9 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return s.name }
 
-// Requests returns how many requests the service has had here.
-func (s *Service) Requests() int64 {
+// RequestCount returns how many requests the service has had on this host.
+func (s *Service) RequestCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.requests
+	return s.requestCount
 }
--- a/internal/steering/status.go
+++ b/internal/steering/status.go
@@ -11,12 +11,12 @@
 func (s *Service) Eligible() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	names := s.gate.Router().Eligible(nil)
+	names := s.admission.Router().Eligible(nil)
 	slices.Sort(names)
 	return names
 }
 
-// TargetStatus is what this host knows of a target.
+// TargetStatus is the status of a target as this host sees it.
 type TargetStatus struct {
 	Target      string
 	State       string
@@ -24,7 +24,8 @@
 	Connections int
 }
 
-// Status is what this host knows of a service.
+// Status is the status of a service on this host. Usual is its mean latency; Retries and Denied count the retries and
+// hedges that its budget allowed and denied.
 type Status struct {
 	Service string
 	Queued  int
@@ -35,7 +36,8 @@
 	Counts  []CountStatus
 }
 
-// CountStatus is a weighted count of one class and failure domain.
+// CountStatus is the request counts of one class and failure domain. Weighted is the sum of the admitted requests'
+// weights.
 type CountStatus struct {
 	Class    string
 	Domain   string
@@ -45,12 +47,12 @@
 	Weighted int64
 }
 
-// Status returns what this host knows now.
+// Status returns the current status of the service.
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router := s.gate.Router()
-	status := Status{Service: s.name, Queued: s.gate.Queued(), Usual: router.Usual(), Retries: s.budget.Spent, Denied: s.budget.Denied}
+	router := s.admission.Router()
+	status := Status{Service: s.name, Queued: s.admission.Queued(), Usual: router.MeanLatency(), Retries: s.budget.Spent, Denied: s.budget.Denied}
 	for i := range router.Size() {
 		index := route.Index(i)
 		t := TargetStatus{Target: router.Name(index), State: router.State(index).String(), InFlight: router.InFlight(index)}
@@ -65,10 +67,10 @@
 
 func (s *Service) counts() []CountStatus {
 	var list []CountStatus
-	names := s.steering.domains.names()
+	names := s.dispatcher.domains.names()
 	for class, number := range s.classes {
 		for domain, name := range names {
-			c := s.gate.Counts.At(number, domain)
+			c := s.admission.Counters.At(number, domain)
 			if c.Offered.Load() == 0 {
 				continue
 			}
