--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -92,7 +92,7 @@
 		debug.SetMemoryLimit(int64(s.Limits.MemoryBytes))
 	}
 	store, closeStore := platform.NewStore(platform.StoreConfig{URL: s.Platform.Store, Timeout: s.Platform.Timeout})
-	h, closeHost := gateway.New(gateway.Config{Settings: s, Logger: logger, Feed: store, Dialect: platform.Dialect()})
+	h, closeHost := gateway.New(gateway.Config{Settings: s, Logger: logger, Store: store, Dialect: platform.Dialect()})
 	return h, func() {
 		closeHost()
 		closeStore()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -112,7 +112,7 @@
 	}
 	left := max(1, (x.deadline - x.gateway.now()).Milliseconds())
 	r.Header.Set(x.gateway.dialect.DeadlineHeader, strconv.FormatInt(left, 10))
-	r.Header.Set(x.gateway.dialect.ExpectHeader, p.Target)
+	r.Header.Set(x.gateway.dialect.ExpectedTargetHeader, p.Target)
 	if len(q.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(q.body)), int64(len(q.body))
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -139,7 +139,7 @@
 	storeAddress := f.serve("store", "", f.store.For(name))
 	feed, closeFeed := platform.NewStore(platform.StoreConfig{URL: "http://" + storeAddress, Timeout: time.Second, Dial: dial})
 	g, closeHost := gateway.New(gateway.Config{
-		Settings: s, Dialect: platform.Dialect(), Feed: feed, Logger: zerolog.Nop(), Dial: dial,
+		Settings: s, Dialect: platform.Dialect(), Store: feed, Logger: zerolog.Nop(), Dial: dial,
 		Listen: func(_, address string) (net.Listener, error) { return f.net.Listen(name, address), nil },
 	})
 	stop, cancelStop := context.WithCancel(context.Background())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,10 +44,10 @@
 // Dialect is how a platform names things towards callers and backend servers.
 type Dialect struct {
 	// Header fields of requests: their number, and the caller's remaining patience in milliseconds.
-	AttemptHeader  string
-	DeadlineHeader string
-	// ExpectHeader tells a backend server which one is meant, so that another at its address declines.
-	ExpectHeader string
+	AttemptIDHeader string
+	DeadlineHeader  string
+	// ExpectedTargetHeader tells a backend server which one is meant, so that another at its address declines.
+	ExpectedTargetHeader string
 	// Header fields of answers: the proof that a backend server made it, its word that it did not run the request,
 	// its name and its load.
 	SealHeader     string
@@ -72,7 +72,7 @@
 type Config struct {
 	Settings settings.Settings
 	Dialect  Dialect
-	Feed     platform.Feed
+	Store    platform.Feed
 	Logger   zerolog.Logger
 	// Listen opens listeners; nil means TCP.
 	Listen func(network, address string) (net.Listener, error)
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -58,8 +58,8 @@
 
 // answers reports whether a response belongs to a request; one that names no request may.
 func (g *Gateway) answers(r *http.Request, response *http.Response) bool {
-	id := response.Header.Get(g.dialect.AttemptHeader)
-	return id == "" || id == r.Header.Get(g.dialect.AttemptHeader)
+	id := response.Header.Get(g.dialect.AttemptIDHeader)
+	return id == "" || id == r.Header.Get(g.dialect.AttemptIDHeader)
 }
 
 // adopt closes the pools of targets that are gone.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -85,7 +85,7 @@
 	c.metered.left = int(^uint(0) >> 1)
 	_ = c.metered.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
 	q := &request{
-		id: r.Header.Get(c.gateway.dialect.AttemptHeader), method: r.Method, uri: r.RequestURI, path: r.URL.Path, host: r.Host,
+		id: r.Header.Get(c.gateway.dialect.AttemptIDHeader), method: r.Method, uri: r.RequestURI, path: r.URL.Path, host: r.Host,
 		header: r.Header, caller: c.address, arrived: arrived, last: r.Close || !r.ProtoAtLeast(1, 1), release: func() {},
 	}
 	if ms, err := strconv.ParseFloat(r.Header.Get(c.gateway.dialect.DeadlineHeader), 64); err == nil && ms > 0 {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -149,7 +149,7 @@
 // snapshot reads the store whole.
 func (g *Gateway) snapshot(ctx context.Context) (int64, error) {
 	g.stats.storeCalls.Add(1)
-	entries, revision, err := g.config.Feed.Snapshot(ctx, "")
+	entries, revision, err := g.config.Store.Snapshot(ctx, "")
 	if err != nil {
 		return 0, err
 	}
@@ -161,7 +161,7 @@
 // follow waits for the next changes.
 func (g *Gateway) follow(ctx context.Context, revision int64) (int64, error) {
 	g.stats.storeCalls.Add(1)
-	changes, next, err := g.config.Feed.Follow(ctx, "", revision, watchWait)
+	changes, next, err := g.config.Store.Follow(ctx, "", revision, watchWait)
 	if err != nil {
 		return revision, err
 	}
@@ -181,7 +181,7 @@
 		return nil
 	}
 	g.stats.storeCalls.Add(1)
-	return g.config.Feed.Write(ctx, []platform.Entry{{Key: key, Value: []byte(g.settings.Host.PeerAddress())}}, nil)
+	return g.config.Store.Write(ctx, []platform.Entry{{Key: key, Value: []byte(g.settings.Host.PeerAddress())}}, nil)
 }
 
 // returned notes the end of an outage of the store, here and for the followers.
