--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -25,12 +25,12 @@
 
 // result is how a run on a target ended.
 type result struct {
-	outcome placement.Outcome
-	answer  *answer
-	load    *placement.Load
-	took    time.Duration
-	// run numbers the runs of one try.
-	run int
+	outcome  placement.Outcome
+	response *callerResponse
+	load     *placement.Load
+	took     time.Duration
+	// index numbers the runs of one try.
+	index int
 }
 
 // notRun reports whether the target certainly did not run the request.
@@ -42,45 +42,45 @@
 	return false
 }
 
-// attempt sends the request to one target and tells the home how that ended.
-func (x *exchange) attempt(ctx context.Context, from decider, p placement.Placed) *result {
+// runOn sends the request to one target and tells the home how that ended.
+func (x *exchange) runOn(ctx context.Context, from placer, p placement.Placed) *result {
 	started := x.gateway.now()
-	r := x.send(ctx, p)
+	r := x.roundTrip(ctx, p)
 	if r.took == 0 {
 		r.took = x.gateway.now() - started
 	}
 	x.gateway.stats.attempts.Add(1)
 	done := placement.Done{Target: p.Target, Outcome: r.outcome, Took: r.took, Load: r.load}
-	if r.answer != nil {
-		done.Bytes = len(r.answer.body)
+	if r.response != nil {
+		done.Bytes = len(r.response.body)
 	}
-	from.end(x.inquiry, done)
+	from.endRun(x.pending, done)
 	return r
 }
 
-func (x *exchange) send(ctx context.Context, p placement.Placed) *result {
+func (x *exchange) roundTrip(ctx context.Context, p placement.Placed) *result {
 	g := x.gateway
 	started := g.now()
 	pool := g.pools.get(p.Target, p.Address)
-	response, err := pool.Do(x.outgoing(ctx, p), backend.Try{Proven: !x.repeatable()})
+	response, err := pool.Do(x.targetRequest(ctx, p), backend.Try{Proven: !x.repeatable()})
 	if err != nil {
-		return &result{outcome: x.sendFailure(ctx, err)}
+		return &result{outcome: x.outcomeOfError(ctx, err)}
 	}
-	r := &result{load: g.load(response.Header), took: g.now() - started}
+	r := &result{load: g.parseLoad(response.Header), took: g.now() - started}
 	if response.Header.Get(g.dialect.NotRunHeader) != "" || response.StatusCode == http.StatusMisdirectedRequest {
 		r.outcome = placement.NotRun
 		if response.StatusCode == http.StatusMisdirectedRequest {
 			r.outcome = placement.Misplaced
 		}
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxHealthBytes))
 		_ = response.Body.Close()
 		return r
 	}
-	return x.readAnswer(ctx, r, response)
+	return x.readResponse(ctx, r, response)
 }
 
-// sendFailure tells how a run without an answer ended.
-func (x *exchange) sendFailure(ctx context.Context, err error) placement.Outcome {
+// outcomeOfError tells how a run without an answer ended.
+func (x *exchange) outcomeOfError(ctx context.Context, err error) placement.Outcome {
 	ended := ctx.Err()
 	switch {
 	case errorx.IsOfType(err, backend.ErrNotSent) && ended == nil:
@@ -97,8 +97,8 @@
 	return placement.Broken
 }
 
-// outgoing builds the request that the target gets.
-func (x *exchange) outgoing(ctx context.Context, p placement.Placed) *http.Request {
+// targetRequest builds the request that the target gets.
+func (x *exchange) targetRequest(ctx context.Context, p placement.Placed) *http.Request {
 	q := x.request
 	r := (&http.Request{
 		Method: q.method, Host: q.host, Header: q.header.Clone(), URL: &url.URL{Scheme: "http", Host: p.Address, Opaque: q.uri},
@@ -119,8 +119,8 @@
 	return r
 }
 
-// promisesNotRun reports whether callers take a status as the word that the request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take a status as the word that the request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -128,31 +128,31 @@
 	return false
 }
 
-// readAnswer reads an answer whole, or its beginning when it is too large to hold.
-func (x *exchange) readAnswer(ctx context.Context, r *result, response *http.Response) *result {
+// readResponse reads an answer whole, or its beginning when it is too large to hold.
+func (x *exchange) readResponse(ctx context.Context, r *result, response *http.Response) *result {
 	sealed := response.Header.Get(x.gateway.dialect.SealHeader) != ""
-	if !sealed && (response.StatusCode < http.StatusMultipleChoices || promisesNotRun(response.StatusCode)) {
+	if !sealed && (response.StatusCode < http.StatusMultipleChoices || impliesNotRun(response.StatusCode)) {
 		_ = response.Body.Close()
 		r.outcome = placement.Broken
 		return r
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, wholeBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse))
 	if err != nil {
 		_ = response.Body.Close()
-		r.outcome = x.sendFailure(ctx, err)
+		r.outcome = x.outcomeOfError(ctx, err)
 		return r
 	}
-	a := &answer{status: response.StatusCode, header: response.Header, body: body, length: int64(len(body))}
-	backend.DropHops(a.header)
-	if len(body) == wholeBytes {
-		a.rest, a.length = response.Body, response.ContentLength
+	c := &callerResponse{status: response.StatusCode, header: response.Header, body: body, length: int64(len(body))}
+	backend.DropHops(c.header)
+	if len(body) == maxBufferedResponse {
+		c.unread, c.length = response.Body, response.ContentLength
 	} else {
 		_ = response.Body.Close()
 	}
 	if x.request.method == http.MethodHead {
-		a.length = max(0, response.ContentLength)
+		c.length = max(0, response.ContentLength)
 	}
-	r.answer = a
+	r.response = c
 	r.outcome = placement.Answered
 	if response.StatusCode >= http.StatusInternalServerError {
 		r.outcome = placement.Failed
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -14,14 +14,14 @@
 const (
 	callerReadBytes  = 4 << 10
 	callerWriteBytes = 8 << 10
-	// mostAhead is how many requests a caller may send before the first is answered.
-	mostAhead = 16
+	// maxPipelined is how many requests a caller may send before the first is answered.
+	maxPipelined = 16
 	// lingerTime is how long a closing connection is read from, so that its last answer isn't lost to a reset.
 	lingerTime = 500 * time.Millisecond
 	// stallTimeout is how long a caller may take no byte of an answer.
 	stallTimeout = 10 * time.Second
-	// neverIdle is the deadline of a connection with a request under way.
-	neverIdle = 10 * time.Minute
+	// busyReadTimeout is the deadline of a connection with a request under way.
+	busyReadTimeout = 10 * time.Minute
 )
 
 var callerWriters = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, callerWriteBytes) }}
@@ -29,19 +29,19 @@
 // callerConn is one caller's connection. Requests sent ahead are worked on at once and answered in order.
 type callerConn struct {
 	gateway *Gateway
-	metered *meteredReader
+	conn    *limitedConn
 	reader  *bufio.Reader
 	address string
 	// ctx ends when the caller has gone.
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex
-	// taken and answered count requests; closing is set once no further one is taken.
-	taken, answered int
-	closing         bool
-	// turn is closed when the request before the next one has been answered.
-	turn  chan struct{}
-	ahead chan struct{}
+	// accepted and answered count requests; closing is set once no further one is taken.
+	accepted, responded int
+	closing             bool
+	// lastTurn is closed when the request before the next one has been answered.
+	lastTurn      chan struct{}
+	pipelineSlots chan struct{}
 }
 
 // serveCallers takes connections of callers.
@@ -51,129 +51,129 @@
 		if err != nil {
 			return err
 		}
-		g.open.Add(1)
+		g.openConns.Add(1)
 		go func() {
-			defer g.open.Add(-1)
+			defer g.openConns.Add(-1)
 			c := newCallerConn(g, conn)
-			g.conns.Store(c, nil)
-			defer g.conns.Delete(c)
+			g.callerConns.Store(c, nil)
+			defer g.callerConns.Delete(c)
 			c.serve()
 		}()
 	}
 }
 
 func newCallerConn(g *Gateway, conn net.Conn) *callerConn {
-	c := &callerConn{gateway: g, metered: &meteredReader{Conn: conn}, turn: make(chan struct{}), ahead: make(chan struct{}, mostAhead)}
-	c.reader = newReader(c.metered)
+	c := &callerConn{gateway: g, conn: &limitedConn{Conn: conn}, lastTurn: make(chan struct{}), pipelineSlots: make(chan struct{}, maxPipelined)}
+	c.reader = newReader(c.conn)
 	c.ctx, c.cancel = context.WithCancel(g.background)
 	if host, _, err := net.SplitHostPort(conn.RemoteAddr().String()); err == nil {
 		c.address = host
 	}
-	close(c.turn)
+	close(c.lastTurn)
 	return c
 }
 
 // serve reads requests until the caller goes or the connection is to close.
 func (c *callerConn) serve() {
-	var working sync.WaitGroup
+	var handlers sync.WaitGroup
 	for {
 		q, bad := c.readRequest()
 		if q == nil {
 			c.reject(bad)
 			break
 		}
-		mine, previous, taken := c.take(q.last)
-		if !taken {
+		done, previous, ok := c.accept(q.closeAfter)
+		if !ok {
 			q.release()
 			break
 		}
-		c.ahead <- struct{}{}
-		working.Go(func() { c.work(q, mine, previous) })
-		if q.last {
+		c.pipelineSlots <- struct{}{}
+		handlers.Go(func() { c.handle(q, done, previous) })
+		if q.closeAfter {
 			break
 		}
 	}
-	c.awaitEnd(&working)
+	c.awaitHandlers(&handlers)
 }
 
-// awaitEnd lets requests under way finish; a caller that leaves meanwhile ends those that may be given up.
-func (c *callerConn) awaitEnd(working *sync.WaitGroup) {
+// awaitHandlers lets requests under way finish; a caller that leaves meanwhile ends those that may be given up.
+func (c *callerConn) awaitHandlers(handlers *sync.WaitGroup) {
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		if _, err := io.Copy(io.Discard, c.metered.Conn); err == nil {
+		if _, err := io.Copy(io.Discard, c.conn.Conn); err == nil {
 			c.cancel()
 		}
 	}()
-	working.Wait()
+	handlers.Wait()
 	c.cancel()
-	_ = c.metered.SetReadDeadline(time.Unix(1, 0))
+	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 	<-left
-	c.linger()
+	c.lingeringClose()
 }
 
-// linger closes the connection once the caller had time to read its last answer: closing at once would reset it
+// lingeringClose closes the connection once the caller had time to read its last answer: closing at once would reset it
 // when the caller has sent more.
-func (c *callerConn) linger() {
-	if half, can := c.metered.Conn.(interface{ CloseWrite() error }); can {
+func (c *callerConn) lingeringClose() {
+	if half, can := c.conn.Conn.(interface{ CloseWrite() error }); can {
 		// The connection is closed for good below.
 		_ = half.CloseWrite()
 	}
-	_ = c.metered.SetReadDeadline(time.Now().Add(lingerTime))
-	_, _ = io.Copy(io.Discard, c.metered.Conn)
-	_ = c.metered.Conn.Close()
+	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime))
+	_, _ = io.Copy(io.Discard, c.conn.Conn)
+	_ = c.conn.Conn.Close()
 }
 
-// take accepts a request unless the connection is closing; mine is to be closed once it is answered, after previous.
-func (c *callerConn) take(last bool) (mine chan struct{}, previous <-chan struct{}, taken bool) {
+// accept accepts a request unless the connection is closing; mine is to be closed once it is answered, after previous.
+func (c *callerConn) accept(last bool) (done chan struct{}, previous <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return nil, nil, false
 	}
-	c.taken++
+	c.accepted++
 	c.closing = last
-	mine, previous = make(chan struct{}), c.turn
-	c.turn = mine
-	return mine, previous, true
+	done, previous = make(chan struct{}), c.lastTurn
+	c.lastTurn = done
+	return done, previous, true
 }
 
-// work answers one request in its turn.
-func (c *callerConn) work(q *request, mine chan struct{}, previous <-chan struct{}) {
-	defer func() { <-c.ahead }()
-	defer close(mine)
+// handle answers one request in its turn.
+func (c *callerConn) handle(q *request, done chan struct{}, previous <-chan struct{}) {
+	defer func() { <-c.pipelineSlots }()
+	defer close(done)
 	defer q.release()
 	x := newExchange(c, q)
-	a := x.run()
+	response := x.run()
 	<-previous
-	closing := c.answering()
-	sent := c.write(q, a, closing)
-	x.finish(a, sent)
-	c.answeredOne(closing || !sent)
+	closing := c.isLastResponse()
+	sent := c.writeResponse(q, response, closing)
+	x.finish(response, sent)
+	c.responseWritten(closing || !sent)
 }
 
-// answering reports whether the next answer is the connection's last: the host stops and nothing else is under way.
-func (c *callerConn) answering() bool {
+// isLastResponse reports whether the next answer is the connection's last: the host stops and nothing else is under way.
+func (c *callerConn) isLastResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gateway.stopping.Load() && c.taken == c.answered+1 {
+	if c.gateway.stopping.Load() && c.accepted == c.responded+1 {
 		c.closing = true
 	}
-	return c.closing && c.taken == c.answered+1
+	return c.closing && c.accepted == c.responded+1
 }
 
-func (c *callerConn) answeredOne(end bool) {
+func (c *callerConn) responseWritten(end bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered++
+	c.responded++
 	if end {
 		c.closing = true
 		// The reader wakes up and finds the connection closing.
-		_ = c.metered.SetReadDeadline(time.Unix(1, 0))
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 		return
 	}
-	if c.taken == c.answered {
-		_ = c.metered.SetReadDeadline(time.Now().Add(c.gateway.limits().IdleTimeout))
+	if c.accepted == c.responded {
+		_ = c.conn.SetReadDeadline(time.Now().Add(c.gateway.limits().IdleTimeout))
 	}
 }
 
@@ -181,9 +181,9 @@
 func (c *callerConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken == c.answered {
+	if c.accepted == c.responded {
 		c.closing = true
-		_ = c.metered.SetReadDeadline(time.Unix(1, 0))
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
@@ -193,11 +193,11 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.closing:
-		_ = c.metered.SetReadDeadline(time.Unix(1, 0))
-	case c.taken == c.answered:
-		_ = c.metered.SetReadDeadline(time.Now().Add(idle))
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
+	case c.accepted == c.responded:
+		_ = c.conn.SetReadDeadline(time.Now().Add(idle))
 	default:
-		_ = c.metered.SetReadDeadline(time.Now().Add(neverIdle))
+		_ = c.conn.SetReadDeadline(time.Now().Add(busyReadTimeout))
 	}
 }
 
@@ -205,24 +205,24 @@
 func (c *callerConn) reject(bad *rejection) {
 	if bad == nil {
 		// The caller has gone, or was idle for too long.
-		if c.gone() {
+		if c.callerLeft() {
 			c.cancel()
 		}
 		return
 	}
-	mine, previous, taken := c.take(true)
-	if !taken {
+	done, previous, ok := c.accept(true)
+	if !ok {
 		return
 	}
-	defer close(mine)
+	defer close(done)
 	<-previous
 	q := &request{method: http.MethodGet}
-	c.write(q, own(bad.status, bad.reason, bad.retryAfter), true)
+	c.writeResponse(q, localResponse(bad.status, bad.reason, bad.retryAfter), true)
 	c.gateway.stats.rejected.Add(1)
 }
 
-// gone reports whether the reader ended because the caller left, not because the connection is closing.
-func (c *callerConn) gone() bool {
+// callerLeft reports whether the reader ended because the caller left, not because the connection is closing.
+func (c *callerConn) callerLeft() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closing
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -17,17 +17,17 @@
 
 // Times and counts of the directory.
 const (
-	// mostAddresses bounds the addresses in one answer.
-	mostAddresses = 64
-	// leastNear is how many ready hosts a caller's failure domain needs for the caller to be sent to those alone.
-	leastNear = 3
-	// plainTimeout bounds the reading of requests to the host's own pages.
-	plainTimeout = 3 * time.Second
+	// maxAddresses bounds the addresses in one answer.
+	maxAddresses = 64
+	// minNearHosts is how many ready hosts a caller's failure domain needs for the caller to be sent to those alone.
+	minNearHosts = 3
+	// pageReadTimeout bounds the reading of requests to the host's own pages.
+	pageReadTimeout = 3 * time.Second
 )
 
 // serveHTTP serves a host's own pages until the context ends.
 func serveHTTP(ctx context.Context, l net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: plainTimeout, IdleTimeout: 4 * plainTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: pageReadTimeout, IdleTimeout: 4 * pageReadTimeout}
 	stop := context.AfterFunc(ctx, func() {
 		// The listener closes with the host; requests to these pages are short.
 		_ = server.Close()
@@ -43,7 +43,7 @@
 func (g *Gateway) serveReady(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+g.dialect.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
-		if !g.table.Self().Ready {
+		if !g.members.Self().Ready {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -59,7 +59,7 @@
 			http.Error(w, "no host is ready", http.StatusServiceUnavailable)
 			return
 		}
-		page.Write(w, http.StatusOK, g.dialect.AddressesBody(addresses, int(g.tunable.Load().Limits.AddressMaxAge/time.Second)))
+		page.Write(w, http.StatusOK, g.dialect.AddressesBody(addresses, int(g.reloadable.Load().Limits.AddressMaxAge/time.Second)))
 	})
 	return serveHTTP(ctx, l, mux)
 }
@@ -67,22 +67,22 @@
 // addresses returns where a caller of a failure domain should connect. Callers choose among them at random, so those
 // of other domains are named only when the caller's own has few hosts.
 func (g *Gateway) addresses(domain, region string) []string {
-	live := g.table.Live(g.now())
+	live := g.members.Live(g.now())
 	for _, near := range []func(host.Member) bool{
 		func(m host.Member) bool { return m.Domain == domain },
 		func(m host.Member) bool { return m.Region == region },
 	} {
 		list := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return !near(m) })
-		if len(list) >= leastNear {
-			return listens(list)
+		if len(list) >= minNearHosts {
+			return listenAddresses(list)
 		}
 	}
-	return listens(live)
+	return listenAddresses(live)
 }
 
-func listens(members []host.Member) []string {
+func listenAddresses(members []host.Member) []string {
 	var list []string
-	for _, m := range members[:min(len(members), mostAddresses)] {
+	for _, m := range members[:min(len(members), maxAddresses)] {
 		list = append(list, m.Listen)
 	}
 	return list
@@ -97,7 +97,7 @@
 	})
 	mux.HandleFunc("GET /Note", g.serveNote)
 	mux.HandleFunc("GET /Status", g.serveStatus)
-	mux.Handle("GET /Explain", g.book)
+	mux.Handle("GET /Explain", g.records)
 	return serveHTTP(ctx, l, mux)
 }
 
@@ -105,12 +105,12 @@
 	head, hash, _ := g.chain.Head()
 	page.Write(w, http.StatusOK, note.Status{
 		Host: g.settings.Host.Name, Incarnation: g.incarnation, Number: head.Number, Hash: hash, Configuration: head.Configuration,
-		InForceSince: time.UnixMilli(g.inForce.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
+		InForceSince: time.UnixMilli(g.inForceSince.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
 	})
 }
 
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	self := g.table.Self()
+	self := g.members.Self()
 	page.Write(w, http.StatusOK, struct {
 		Host, Domain   string
 		Incarnation    uint64
@@ -120,8 +120,8 @@
 		Latency        []meter.Summary
 		Unwritten      int64
 	}{
-		self.Name, self.Domain, g.incarnation, self.Ready, self.Leaving, self.Note, g.table.Peers(),
-		g.histograms.Summaries(), g.trace.unwritten.Load() + g.book.Unwritten(),
+		self.Name, self.Domain, g.incarnation, self.Ready, self.Leaving, self.Note, g.members.Peers(),
+		g.histograms.Summaries(), g.requestLog.unwritten.Load() + g.records.Unwritten(),
 	})
 }
 
@@ -138,20 +138,20 @@
 		{"Refused", func() any { return s.refused.Load() }},
 		{"Failed", func() any { return s.failed.Load() }},
 		{"NotFound", func() any { return s.notFound.Load() }},
-		{"CutAnswers", func() any { return s.cut.Load() }},
+		{"CutAnswers", func() any { return s.truncated.Load() }},
 		{"RejectedRequests", func() any { return s.rejected.Load() }},
 		{"Attempts", func() any { return s.attempts.Load() }},
 		{"Probes", func() any { return s.probes.Load() }},
 		{"StoreCalls", func() any { return s.storeCalls.Load() }},
-		{"StoreLost", func() any { return g.watch.lost.Load() }},
+		{"StoreLost", func() any { return g.storeWatch.lost.Load() }},
 		{"SilentHomes", func() any { return s.silentHomes.Load() }},
 		{"SlowReaders", func() any { return s.slowReaders.Load() }},
-		{"OpenConnections", func() any { return g.open.Load() }},
+		{"OpenConnections", func() any { return g.openConns.Load() }},
 		{"Note", func() any { return g.chain.Number() }},
-		{"UnwrittenLines", func() any { return g.trace.unwritten.Load() + g.book.Unwritten() }},
+		{"UnwrittenLines", func() any { return g.requestLog.unwritten.Load() + g.records.Unwritten() }},
 		{"InnerBytesSent", func() any { return g.client.BytesSent() }},
 		{"Latencies", func() any { return g.histograms.Summaries() }},
-		{"Queued", func() any { return g.homes.queued() }},
+		{"Queued", func() any { return g.homeServer.queuedByService() }},
 	} {
 		vars.Set(v.name, expvar.Func(v.value))
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -12,14 +12,14 @@
 
 // Times of an exchange.
 const (
-	// ackTimeout is how long a home may take to its first word on a request.
-	ackTimeout = 60 * time.Millisecond
-	// noConfigurationReturn is when callers should come back to a host that knows no configuration yet.
-	noConfigurationReturn = 500 * time.Millisecond
-	// noDeadline is the time limit of a request that names none under a rule without one.
-	noDeadline = 30 * time.Second
-	// leastTime is the least time that must be left for a target to be worth asking.
-	leastTime = 5 * time.Millisecond
+	// firstVerdictTimeout is how long a home may take to its first word on a request.
+	firstVerdictTimeout = 60 * time.Millisecond
+	// noConfigurationRetryAfter is when callers should come back to a host that knows no configuration yet.
+	noConfigurationRetryAfter = 500 * time.Millisecond
+	// defaultTimeout is the time limit of a request that names none under a rule without one.
+	defaultTimeout = 30 * time.Second
+	// minAttemptTime is the least time that must be left for a target to be worth asking.
+	minAttemptTime = 5 * time.Millisecond
 )
 
 // exchange carries one request to targets and back.
@@ -31,22 +31,22 @@
 	service  string
 	goal     time.Duration
 	deadline time.Duration
-	inquiry  *inquiry
-	// decider is where the last place came from.
-	decider decider
-	tried   []string
+	pending  *pendingRequest
+	// placer is where the last place came from.
+	placer placer
+	tried  []string
 	// mayHaveRun is set once a target may have begun the request.
 	mayHaveRun bool
-	// failure is a target's own failure, to answer with when nothing better comes.
-	failure *answer
-	number  int
-	matched bool
-	// asks, hedges and queued say how the request was placed.
-	asks, hedges int
-	queued       bool
-	lastOutcome  string
-	// decided is the last verdict that placed or refused the request.
-	decided placement.Verdict
+	// targetFailure is a target's own failure, to answer with when nothing better comes.
+	targetFailure *callerResponse
+	noteNumber    int
+	ruleFound     bool
+	// homesAsked, hedges and queued say how the request was placed.
+	homesAsked, hedges int
+	queued             bool
+	lastOutcome        string
+	// verdict is the last verdict that placed or refused the request.
+	verdict placement.Verdict
 	// cancel ends what is left of the runs; an answer that is still being read needs its run until it was sent.
 	cancel context.CancelFunc
 }
@@ -56,36 +56,36 @@
 }
 
 // run returns the answer to the request.
-func (x *exchange) run() *answer {
+func (x *exchange) run() *callerResponse {
 	g := x.gateway
 	g.stats.requests.Add(1)
 	index := g.rules.Load()
-	x.number = index.number
-	if x.number == 0 {
-		return own(http.StatusServiceUnavailable, "NoConfiguration", noConfigurationReturn)
+	x.noteNumber = index.number
+	if x.noteNumber == 0 {
+		return localResponse(http.StatusServiceUnavailable, "NoConfiguration", noConfigurationRetryAfter)
 	}
 	rule, found := index.match(x.request.host, x.request.path)
 	if !found {
-		return own(http.StatusNotFound, "NoRule", 0)
+		return localResponse(http.StatusNotFound, "NoRule", 0)
 	}
-	x.matched = true
-	x.begin(rule)
+	x.ruleFound = true
+	x.applyRule(rule)
 	var ctx context.Context
 	ctx, x.cancel = context.WithTimeout(x.caller.requestContext(x.repeatable()), x.deadline-g.now())
-	x.inquiry = g.links.open(x.service)
-	defer g.links.done(x.inquiry)
-	return x.answer(ctx)
+	x.pending = g.homeClient.register(x.service)
+	defer g.homeClient.unregister(x.pending)
+	return x.placeAndRun(ctx)
 }
 
-func (x *exchange) begin(rule note.Rule) {
+func (x *exchange) applyRule(rule note.Rule) {
 	x.rule = rule
-	x.service = x.gateway.shares.choose(rule)
+	x.service = x.gateway.split.choose(rule)
 	limit := rule.Deadline
 	if limit == 0 {
-		limit = noDeadline
+		limit = defaultTimeout
 	}
-	if x.request.patience > 0 {
-		limit = min(limit, x.request.patience)
+	if x.request.timeout > 0 {
+		limit = min(limit, x.request.timeout)
 	}
 	x.deadline = x.request.arrived + limit
 	x.goal = x.deadline
@@ -96,109 +96,109 @@
 
 func (x *exchange) repeatable() bool { return x.rule.IsIdempotent(x.request.method) }
 
-// answer places and sends the request until there is something to answer with.
-func (x *exchange) answer(ctx context.Context) *answer {
+// placeAndRun places and sends the request until there is something to answer with.
+func (x *exchange) placeAndRun(ctx context.Context) *callerResponse {
 	for {
-		place, refusal := x.place(ctx)
+		placed, refusal := x.place(ctx)
 		if refusal != nil {
-			return x.giveUp(*refusal)
+			return x.refuse(*refusal)
 		}
-		if place == nil {
-			return x.timedOut(ctx)
+		if placed == nil {
+			return x.notPlacedInTime(ctx)
 		}
-		r := x.try(ctx, *place)
+		r := x.runWithHedge(ctx, *placed)
 		x.lastOutcome = outcomeNames[r.outcome]
-		if a := x.settle(ctx, r); a != nil {
-			return a
+		if response := x.handleResult(ctx, r); response != nil {
+			return response
 		}
 	}
 }
 
-// settle returns the answer after a run, or nil to try another target.
-func (x *exchange) settle(ctx context.Context, r *result) *answer {
+// handleResult returns the answer after a run, or nil to try another target.
+func (x *exchange) handleResult(ctx context.Context, r *result) *callerResponse {
 	switch r.outcome {
 	case placement.Answered:
-		return r.answer
+		return r.response
 	case placement.NotRun, placement.Unreachable, placement.Misplaced:
-		if x.mayTryAgain(ctx) {
+		if x.mayRetry(ctx) {
 			return nil
 		}
-		return x.giveUp(placement.Refused{Reason: placement.ReasonNoTargets, RetryAfter: refusedReturn})
+		return x.refuse(placement.Refused{Reason: placement.ReasonNoTargets, RetryAfter: refusedRetryAfter})
 	case placement.Failed:
-		x.failure = r.answer
+		x.targetFailure = r.response
 	}
 	x.mayHaveRun = true
-	if x.repeatable() && x.mayTryAgain(ctx) {
+	if x.repeatable() && x.mayRetry(ctx) {
 		return nil
 	}
-	return x.afterRun(ctx)
+	return x.failedResponse(ctx)
 }
 
-// refusedReturn is when callers should come back after every target tried has refused.
-const refusedReturn = 200 * time.Millisecond
+// refusedRetryAfter is when callers should come back after every target tried has refused.
+const refusedRetryAfter = 200 * time.Millisecond
 
-// mayTryAgain reports whether another target may get the request.
-func (x *exchange) mayTryAgain(ctx context.Context) bool {
-	if ctx.Err() != nil || x.deadline-x.gateway.now() < leastTime {
+// mayRetry reports whether another target may get the request.
+func (x *exchange) mayRetry(ctx context.Context) bool {
+	if ctx.Err() != nil || x.deadline-x.gateway.now() < minAttemptTime {
 		return false
 	}
 	return x.rule.Attempts == 0 || len(x.tried) < x.rule.Attempts
 }
 
-// giveUp returns the answer when no target gets the request any more.
-func (x *exchange) giveUp(r placement.Refused) *answer {
+// refuse returns the answer when no target gets the request any more.
+func (x *exchange) refuse(r placement.Refused) *callerResponse {
 	x.lastOutcome = string(r.Reason)
-	if x.failure != nil {
-		return x.failure
+	if x.targetFailure != nil {
+		return x.targetFailure
 	}
 	if x.mayHaveRun {
-		return own(http.StatusBadGateway, "AnswerLost", 0)
+		return localResponse(http.StatusBadGateway, "AnswerLost", 0)
 	}
-	return refused(r)
+	return refusalResponse(r)
 }
 
-// afterRun returns the answer when a target may have run the request and no answer came.
-func (x *exchange) afterRun(ctx context.Context) *answer {
+// failedResponse returns the answer when a target may have run the request and no answer came.
+func (x *exchange) failedResponse(ctx context.Context) *callerResponse {
 	switch {
-	case x.failure != nil:
-		return x.failure
+	case x.targetFailure != nil:
+		return x.targetFailure
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return own(http.StatusGatewayTimeout, "TimedOut", 0)
+		return localResponse(http.StatusGatewayTimeout, "TimedOut", 0)
 	case ctx.Err() != nil:
-		return own(http.StatusGatewayTimeout, "CallerLeft", 0)
+		return localResponse(http.StatusGatewayTimeout, "CallerLeft", 0)
 	}
-	return own(http.StatusBadGateway, "AnswerLost", 0)
+	return localResponse(http.StatusBadGateway, "AnswerLost", 0)
 }
 
-// timedOut returns the answer when the time ended before a place was found.
-func (x *exchange) timedOut(ctx context.Context) *answer {
-	if x.mayHaveRun || x.failure != nil {
-		return x.afterRun(ctx)
+// notPlacedInTime returns the answer when the time ended before a place was found.
+func (x *exchange) notPlacedInTime(ctx context.Context) *callerResponse {
+	if x.mayHaveRun || x.targetFailure != nil {
+		return x.failedResponse(ctx)
 	}
-	return refused(placement.Refused{Reason: placement.ReasonTooLate, RetryAfter: refusedReturn})
+	return refusalResponse(placement.Refused{Reason: placement.ReasonTooLate, RetryAfter: refusedRetryAfter})
 }
 
 // place asks the service's homes for a place; both results are nil when the time ended first.
 func (x *exchange) place(ctx context.Context) (*placement.Placed, *placement.Refused) {
-	for _, s := range x.gateway.links.deciders(x.service) {
-		x.decider = s
-		x.asks++
-		s.ask(x.inquiry, x.placementRequest())
-		v, ended := x.await(ctx, s)
+	for _, p := range x.gateway.homeClient.placers(x.service) {
+		x.placer = p
+		x.homesAsked++
+		p.place(x.pending, x.placementRequest())
+		v, ended := x.awaitVerdict(ctx, p)
 		switch v := v.(type) {
 		case placement.Placed:
-			s.decided()
+			p.verdictReceived()
 			return &v, nil
 		case placement.Refused:
-			s.decided()
+			p.verdictReceived()
 			return nil, &v
 		}
-		s.withdraw(x.inquiry)
+		p.withdraw(x.pending)
 		if ended {
 			return nil, nil
 		}
 	}
-	return nil, &placement.Refused{Reason: placement.ReasonNoTargets, RetryAfter: refusedReturn}
+	return nil, &placement.Refused{Reason: placement.ReasonNoTargets, RetryAfter: refusedRetryAfter}
 }
 
 func (x *exchange) placementRequest() *placement.Request {
@@ -208,32 +208,32 @@
 	}
 }
 
-// await waits for a home's decision; it returns nil when the home gives none, and ended when the time is over.
-func (x *exchange) await(ctx context.Context, s decider) (v placement.Verdict, ended bool) {
-	ack := time.NewTimer(ackTimeout)
+// awaitVerdict waits for a home's decision; it returns nil when the home gives none, and ended when the time is over.
+func (x *exchange) awaitVerdict(ctx context.Context, p placer) (v placement.Verdict, ended bool) {
+	ack := time.NewTimer(firstVerdictTimeout)
 	defer ack.Stop()
 	for {
 		select {
-		case e := <-x.inquiry.events:
-			if e.from != s {
-				x.decline(e)
+		case e := <-x.pending.events:
+			if e.placer != p {
+				x.releaseSlot(e)
 				continue
 			}
-			if e.lost {
+			if e.disconnected {
 				return nil, false
 			}
 			switch e.verdict.(type) {
 			case placement.Placed, placement.Refused:
-				x.decided = e.verdict
+				x.verdict = e.verdict
 				return e.verdict, false
 			case placement.Queued:
 				x.queued = true
 				ack.Stop()
 			case placement.Hedge:
-				x.decline(e)
+				x.releaseSlot(e)
 			}
 		case <-ack.C:
-			x.gateway.links.suspect(s.name())
+			x.gateway.homeClient.suspect(p.name())
 			x.gateway.stats.silentHomes.Add(1)
 			return nil, false
 		case <-ctx.Done():
@@ -242,84 +242,84 @@
 	}
 }
 
-// decline gives back a place that comes too late.
-func (x *exchange) decline(e event) {
-	if target, held := placeOf(e.verdict); held {
-		e.from.end(x.inquiry, placement.Done{Target: target, Outcome: placement.Abandoned})
+// releaseSlot gives back a place that comes too late.
+func (x *exchange) releaseSlot(e placementEvent) {
+	if target, held := reservedTarget(e.verdict); held {
+		e.placer.endRun(x.pending, placement.Done{Target: target, Outcome: placement.Abandoned})
 	}
 }
 
-// try runs the request on a target, and on a second one when the home asks for that.
-func (x *exchange) try(ctx context.Context, p placement.Placed) *result {
-	runs := runs{exchange: x, results: make(chan *result, 2)}
-	runs.start(ctx, x.decider, p)
+// runWithHedge runs the request on a target, and on a second one when the home asks for that.
+func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *result {
+	runs := hedgedRuns{exchange: x, results: make(chan *result, 2)}
+	runs.start(ctx, x.placer, placed)
 	var worst *result
 	for {
 		select {
 		case r := <-runs.results:
-			runs.under--
-			worst = better(r, worst)
-			if r.outcome == placement.Answered || runs.under == 0 {
-				runs.endOthers(worst)
+			runs.active--
+			worst = moreConclusive(r, worst)
+			if r.outcome == placement.Answered || runs.active == 0 {
+				runs.cancelOthers(worst)
 				return worst
 			}
-		case e := <-x.inquiry.events:
+		case e := <-x.pending.events:
 			hedge, is := e.verdict.(placement.Hedge)
-			if !is || e.from != x.decider || runs.under != 1 || !x.mayTryAgain(ctx) {
-				x.decline(e)
+			if !is || e.placer != x.placer || runs.active != 1 || !x.mayRetry(ctx) {
+				x.releaseSlot(e)
 				continue
 			}
 			x.hedges++
-			runs.start(ctx, e.from, placement.Placed(hedge))
+			runs.start(ctx, e.placer, placement.Placed(hedge))
 		}
 	}
 }
 
-// runs are the runs of one try that go on beside each other.
-type runs struct {
+// hedgedRuns are the runs of one try that go on beside each other.
+type hedgedRuns struct {
 	exchange *exchange
 	results  chan *result
 	cancels  []context.CancelFunc
-	// under is how many have not ended.
-	under int
+	// active is how many have not ended.
+	active int
 }
 
-func (u *runs) start(ctx context.Context, from decider, p placement.Placed) {
+func (u *hedgedRuns) start(ctx context.Context, from placer, placed placement.Placed) {
 	ctx, cancel := context.WithCancel(ctx)
 	run := len(u.cancels)
 	u.cancels = append(u.cancels, cancel)
-	u.under++
-	u.exchange.tried = append(u.exchange.tried, p.Target)
+	u.active++
+	u.exchange.tried = append(u.exchange.tried, placed.Target)
 	go func() {
-		r := u.exchange.attempt(ctx, from, p)
-		r.run = run
+		r := u.exchange.runOn(ctx, from, placed)
+		r.index = run
 		u.results <- r
 	}()
 }
 
-// endOthers ends all runs but the one whose answer goes on.
-func (u *runs) endOthers(kept *result) {
+// cancelOthers ends all runs but the one whose answer goes on.
+func (u *hedgedRuns) cancelOthers(kept *result) {
 	for run, cancel := range u.cancels {
-		if run != kept.run {
+		if run != kept.index {
 			cancel()
 		}
 	}
-	if u.under > 0 {
-		go u.discard()
+	if u.active > 0 {
+		go u.discardResults()
 	}
 }
 
-// discard closes the answers of runs that came second.
-func (u *runs) discard() {
-	for range u.under {
-		if r := <-u.results; r.answer != nil && r.answer.rest != nil {
-			_ = r.answer.rest.Close()
+// discardResults closes the answers of runs that came second.
+func (u *hedgedRuns) discardResults() {
+	for range u.active {
+		if r := <-u.results; r.response != nil && r.response.unread != nil {
+			_ = r.response.unread.Close()
 		}
 	}
 }
 
-// better returns the result to go by when two runs have ended: the one that says most.
-func better(a, b *result) *result {
+// moreConclusive returns the result to go by when two runs have ended: the one that says most.
+func moreConclusive(a, b *result) *result {
 	if b == nil || a.outcome == placement.Answered || a.outcome == placement.Failed {
 		return a
 	}
@@ -330,7 +330,7 @@
 }
 
 // finish notes how the exchange ended.
-func (x *exchange) finish(a *answer, sent bool) {
+func (x *exchange) finish(response *callerResponse, sent bool) {
 	x.cancel()
-	x.gateway.finish(x, a, sent)
+	x.gateway.finish(x, response, sent)
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -2,7 +2,7 @@
 
 // Live returns how many ready hosts the gateway knows, and which of them is home to a service.
 func (g *Gateway) Live(service string) (hosts int, home string) {
-	ranked := g.links.rank(service)
+	ranked := g.homeClient.rankedHomes(service)
 	if len(ranked) == 0 {
 		return 0, ""
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,11 +35,11 @@
 // ErrListen reports an address that cannot be listened on.
 var ErrListen = namespace.NewType("listen")
 
-// bookRecords is the number of records of changes that are kept for explanations.
-const bookRecords = 256
+// maxRecords is the number of records of changes that are kept for explanations.
+const maxRecords = 256
 
-// peersInDomain is how many peers of the own failure domain a heartbeat goes to.
-const peersInDomain = 2
+// heartbeatsPerDomain is how many peers of the own failure domain a heartbeat goes to.
+const heartbeatsPerDomain = 2
 
 // Dialect is how a platform names things towards callers and backend servers.
 type Dialect struct {
@@ -84,41 +84,41 @@
 type Gateway struct {
 	config   Config
 	settings settings.Settings
-	// tunable holds the settings that may change while the host runs.
-	tunable     atomic.Pointer[settings.Settings]
-	dialect     Dialect
-	start       time.Time
-	incarnation uint64
-	logger      zerolog.Logger
-	trace       *trace
-	book        *record.Book
-	chain       *note.Chain
-	roster      *roster.Roster
-	table       *host.Table
-	beats       *inner.Heartbeats
-	client      *inner.Client
-	kick        *ring.Ring[struct{}]
-	ahead       *ring.Ring[host.Member]
-	homes       *homes
-	pools       *pools
-	links       *links
-	rules       atomic.Pointer[ruleIndex]
-	shares      shares
-	histograms  *meter.Histograms
-	stats       stats
-	followers   followers
-	watch       watchState
-	bodies      bodyBudget
-	// adopting is held while a view is put in force; targetStates is what was last explained.
-	adopting     sync.Mutex
+	// reloadable holds the settings that may change while the host runs.
+	reloadable   atomic.Pointer[settings.Settings]
+	dialect      Dialect
+	start        time.Time
+	incarnation  uint64
+	logger       zerolog.Logger
+	requestLog   *requestLog
+	records      *record.Book
+	chain        *note.Chain
+	roster       *roster.Roster
+	members      *host.Table
+	heartbeats   *inner.Heartbeats
+	client       *inner.Client
+	heartbeatNow *ring.Ring[struct{}]
+	peersAhead   *ring.Ring[host.Member]
+	homeServer   *homeServer
+	pools        *pools
+	homeClient   *homeClient
+	rules        atomic.Pointer[ruleIndex]
+	split        trafficSplit
+	histograms   *meter.Histograms
+	stats        stats
+	followers    followers
+	storeWatch   watchState
+	bodies       bodyBudget
+	// applyMu is held while a view is put in force; targetStates is what was last explained.
+	applyMu      sync.Mutex
 	targetStates map[string]string
 	// stopping is set once a graceful stop has begun.
 	stopping atomic.Bool
-	// inForce is when the note in force was adopted, in Unix milliseconds.
-	inForce atomic.Int64
-	// conns holds the open connections of callers, and open counts them.
-	conns sync.Map
-	open  atomic.Int64
+	// inForceSince is when the note in force was adopted, in Unix milliseconds.
+	inForceSince atomic.Int64
+	// callerConns holds the open connections of callers, and open counts them.
+	callerConns sync.Map
+	openConns   atomic.Int64
 	// background is the context of requests that go on when their caller leaves.
 	background context.Context
 }
@@ -130,36 +130,36 @@
 	}
 	g := &Gateway{
 		config: c, settings: c.Settings, dialect: c.Dialect, start: time.Now(), chain: &note.Chain{},
-		kick: ring.New[struct{}](ring.Config{Capacity: 1}), ahead: ring.New[host.Member](ring.Config{Capacity: 1}), histograms: meter.NewHistograms(), logger: c.Logger,
+		heartbeatNow: ring.New[struct{}](ring.Config{Capacity: 1}), peersAhead: ring.New[host.Member](ring.Config{Capacity: 1}), histograms: meter.NewHistograms(), logger: c.Logger,
 		bodies: bodyBudget{limit: int64(c.Settings.Limits.HeldBytes)},
 	}
-	g.tunable.Store(&g.settings)
+	g.reloadable.Store(&g.settings)
 	g.incarnation = uint64(g.start.UnixMilli())<<16 | uint64(rand.Uint32N(1<<16))
 	var closeBook, closeClient, closeTrace func()
-	g.trace, closeTrace = newTrace(c.Logger)
-	g.book, closeBook = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: bookRecords, Logger: c.Logger})
+	g.requestLog, closeTrace = newTrace(c.Logger)
+	g.records, closeBook = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: maxRecords, Logger: c.Logger})
 	g.client, closeClient = inner.NewClient(inner.ClientConfig{Dial: c.Dial})
-	g.table = host.New(host.Config{
+	g.members = host.New(host.Config{
 		Self: host.Member{
 			Name: c.Settings.Host.Name, Listen: c.Settings.Host.Listen, Inner: c.Settings.Host.PeerAddress(),
 			Domain: c.Settings.Host.Domain, Region: c.Settings.Host.Region, Incarnation: g.incarnation,
 		},
-		Seeds: c.Settings.Peers.Seeds, PerDomain: peersInDomain, Random: rand.New(rand.NewPCG(g.incarnation, 2)),
+		Seeds: c.Settings.Peers.Seeds, PerDomain: heartbeatsPerDomain, Random: rand.New(rand.NewPCG(g.incarnation, 2)),
 	})
-	g.beats = &inner.Heartbeats{Table: g.table, Client: g.client, Now: g.now, Request: func(n host.News) *inner.HeartbeatRequest {
+	g.heartbeats = &inner.Heartbeats{Table: g.members, Client: g.client, Now: g.now, Request: func(n host.News) *inner.HeartbeatRequest {
 		return inner.Request(c.Settings.Host.Name, n)
-	}, Heard: func(r *inner.HeartbeatReply) { g.heard(r.Sender, r.Members) }}
+	}, Heard: func(r *inner.HeartbeatReply) { g.queueIfAhead(r.Sender, r.Members) }}
 	var endAll context.CancelFunc
 	g.background, endAll = context.WithCancel(context.Background())
 	g.rules.Store(&ruleIndex{})
-	g.homes = newHomes(g)
+	g.homeServer = newHomes(g)
 	g.pools = newPools(g)
-	g.links = newLinks(g)
-	g.followers.byNumber = map[uint64]*ring.Ring[news]{}
-	g.roster = roster.New(roster.Config{Decode: c.Dialect.Decode, OnRefused: g.refusedEntry, OnChange: g.adopt})
+	g.homeClient = newLinks(g)
+	g.followers.queues = map[uint64]*ring.Ring[storeUpdate]{}
+	g.roster = roster.New(roster.Config{Decode: c.Dialect.Decode, OnRefused: g.recordRejectedEntry, OnChange: g.applyView})
 	return g, func() {
 		endAll()
-		g.links.close()
+		g.homeClient.close()
 		g.pools.close()
 		closeClient()
 		closeBook()
@@ -178,31 +178,31 @@
 
 // Reload takes new settings; addresses and names hold until the next start.
 func (g *Gateway) Reload(s settings.Settings) {
-	g.tunable.Store(&s)
-	g.table.SetSeeds(s.Peers.Seeds)
+	g.reloadable.Store(&s)
+	g.members.SetSeeds(s.Peers.Seeds)
 	g.logger.Info().Strs("Seeds", s.Peers.Seeds).Bool("NeedsRestart", s.Host != g.settings.Host || s.Platform != g.settings.Platform).Msg("settings reloaded")
 }
 
-// refusedEntry explains an entry of the store that can't be used.
-func (g *Gateway) refusedEntry(key string, err error) {
-	g.book.Add(record.Record{Kind: record.NoteRejected, Cause: "StoreEntry", Note: g.chain.Number(), Evidence: record.Evidence{Detail: key + ": " + err.Error()}})
+// recordRejectedEntry explains an entry of the store that can't be used.
+func (g *Gateway) recordRejectedEntry(key string, err error) {
+	g.records.Add(record.Record{Kind: record.NoteRejected, Cause: "StoreEntry", Note: g.chain.Number(), Evidence: record.Evidence{Detail: key + ": " + err.Error()}})
 }
 
-// adopt puts the newest view of the store in force.
-func (g *Gateway) adopt() {
-	g.adopting.Lock()
-	defer g.adopting.Unlock()
+// applyView puts the newest view of the store in force.
+func (g *Gateway) applyView() {
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
 	v := g.roster.View()
-	g.adoptNote(v.Configuration)
-	g.explainTargets(v)
+	g.applyConfiguration(v.Configuration)
+	g.recordTargetChanges(v)
 	g.rules.Store(newRuleIndex(v.Configuration))
-	g.homes.adopt(v)
-	g.pools.adopt(v)
-	g.refreshReady()
+	g.homeServer.applyView(v)
+	g.pools.applyView(v)
+	g.updateReady()
 }
 
-// adoptNote writes the release note that a new configuration amounts to.
-func (g *Gateway) adoptNote(c note.Configuration) {
+// applyConfiguration writes the release note that a new configuration amounts to.
+func (g *Gateway) applyConfiguration(c note.Configuration) {
 	_, _, old := g.chain.Head()
 	if c.Number <= old.Number {
 		return
@@ -210,19 +210,19 @@
 	difference := note.Difference(old, c)
 	snapshot := note.Snapshot{Record: note.Record{Number: c.Number, Configuration: c.Hash(), Note: difference}, Configuration: c}
 	if _, err := g.chain.AdoptSnapshot(snapshot); err != nil {
-		g.book.Add(record.Record{Kind: record.NoteRejected, Cause: "Snapshot", Note: c.Number, Evidence: record.Evidence{Detail: err.Error()}})
+		g.records.Add(record.Record{Kind: record.NoteRejected, Cause: "Snapshot", Note: c.Number, Evidence: record.Evidence{Detail: err.Error()}})
 		return
 	}
-	g.inForce.Store(time.Now().UnixMilli())
-	g.table.SetNote(c.Number)
-	g.book.Add(record.Record{
+	g.inForceSince.Store(time.Now().UnixMilli())
+	g.members.SetNote(c.Number)
+	g.records.Add(record.Record{
 		Kind: record.NoteAdopted, Note: c.Number, Cause: "Store",
 		Evidence: record.Evidence{Hash: snapshot.Record.Configuration, Detail: difference.Summary()},
 	})
 }
 
-// explainTargets writes a record for each target that came, began to leave or went. Only one view is adopted at a time.
-func (g *Gateway) explainTargets(v *roster.View) {
+// recordTargetChanges writes a record for each target that came, began to leave or went. Only one view is adopted at a time.
+func (g *Gateway) recordTargetChanges(v *roster.View) {
 	now := map[string]string{}
 	for service, list := range v.Targets {
 		for _, t := range list {
@@ -232,24 +232,24 @@
 			}
 			now[t.Name] = state
 			if old := g.targetStates[t.Name]; old != state {
-				g.book.Add(record.Record{Kind: record.TargetMoved, Service: service, Target: t.Name, From: old, To: state, Cause: "Registered", Note: g.chain.Number()})
+				g.records.Add(record.Record{Kind: record.TargetMoved, Service: service, Target: t.Name, From: old, To: state, Cause: "Registered", Note: g.chain.Number()})
 			}
 		}
 	}
 	for name := range g.targetStates {
 		if now[name] == "" {
-			g.book.Add(record.Record{Kind: record.TargetForgotten, Target: name, Cause: "EntryRemoved", Note: g.chain.Number()})
+			g.records.Add(record.Record{Kind: record.TargetForgotten, Target: name, Cause: "EntryRemoved", Note: g.chain.Number()})
 		}
 	}
 	g.targetStates = now
 }
 
-// refreshReady makes the host ready once it knows a configuration and is not stopping.
-func (g *Gateway) refreshReady() {
+// updateReady makes the host ready once it knows a configuration and is not stopping.
+func (g *Gateway) updateReady() {
 	ready := g.chain.Number() > 0 && !g.stopping.Load()
-	if ready != g.table.Self().Ready {
-		g.table.SetReady(ready)
-		g.kick.Push(struct{}{})
+	if ready != g.members.Self().Ready {
+		g.members.SetReady(ready)
+		g.heartbeatNow.Push(struct{}{})
 	}
 }
 
@@ -259,14 +259,14 @@
 	if err != nil {
 		return err
 	}
-	d := duty.New()
-	defer d.End()
-	for _, duty := range []func(context.Context){g.beatDuty, g.watchDuty, g.followDuty, g.catchUpDuty, g.tickDuty, g.rosterDuty} {
-		d.Start(duty)
+	tasks := duty.New()
+	defer tasks.End()
+	for _, task := range []func(context.Context){g.runHeartbeats, g.runStoreWatch, g.runPeerFollowing, g.runCatchUp, g.runPlacementTimers, g.runLapseCheck} {
+		tasks.Start(task)
 	}
 	failed := make(chan error, len(listeners))
 	for _, l := range listeners {
-		d.Start(func(ctx context.Context) {
+		tasks.Start(func(ctx context.Context) {
 			if err := l.serve(ctx); err != nil {
 				failed <- err
 			}
@@ -281,7 +281,7 @@
 	}
 	g.stopGracefully(force, func() {
 		// The front listener is of no more use, whatever Close says.
-		_ = listeners[frontListener].Close()
+		_ = listeners[callerListener].Close()
 	})
 	return nil
 }
@@ -289,7 +289,7 @@
 // listener is one address with what answers on it.
 type listener struct {
 	net.Listener
-	answer func(context.Context, net.Listener) error
+	handle func(context.Context, net.Listener) error
 }
 
 func (l listener) serve(ctx context.Context) error {
@@ -298,19 +298,19 @@
 		_ = l.Close()
 	})
 	defer stop()
-	err := l.answer(ctx, l.Listener)
+	err := l.handle(ctx, l.Listener)
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// frontListener is the place of the callers' listener among a host's listeners.
-const frontListener = 1
+// callerListener is the place of the callers' listener among a host's listeners.
+const callerListener = 1
 
 func (g *Gateway) listen() ([]listener, error) {
 	s := g.settings.Host
-	places := []struct {
+	endpoints := []struct {
 		key, address string
 		answer       func(context.Context, net.Listener) error
 	}{
@@ -321,18 +321,18 @@
 		{"Metrics", s.Metrics, g.serveMetrics},
 	}
 	var list []listener
-	for _, p := range places {
-		if p.address == "" {
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
 			continue
 		}
-		l, err := g.config.Listen("tcp", p.address)
+		l, err := g.config.Listen("tcp", endpoint.address)
 		if err != nil {
 			for _, opened := range list {
 				err = errors.Join(err, opened.Close())
 			}
-			return nil, ErrListen.New("[Host] %s: %v; choose a free address", p.key, err)
+			return nil, ErrListen.New("[Host] %s: %v; choose a free address", endpoint.key, err)
 		}
-		list = append(list, listener{l, p.answer})
+		list = append(list, listener{l, endpoint.answer})
 	}
 	return list, nil
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -29,48 +29,48 @@
 
 // Heartbeat implements inner.DRPCPeerServer.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
-	p.gateway.heard(r.Sender, r.Members)
-	return inner.Answer(p.gateway.table, p.gateway.now(), r), nil
+	p.gateway.queueIfAhead(r.Sender, r.Members)
+	return inner.Answer(p.gateway.members, p.gateway.now(), r), nil
 }
 
 // Place implements inner.DRPCPeerServer: it decides for the host at the other end.
 func (p *peerServer) Place(stream inner.DRPCPeer_PlaceStream) error {
-	homes := p.gateway.homes
+	homes := p.gateway.homeServer
 	ctx, cancel := context.WithCancel(stream.Context())
-	d := homes.openSession(nil, cancel)
-	defer homes.closeSession(d)
+	sess := homes.openSession(nil, cancel)
+	defer homes.closeSession(sess)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		defer cancel()
 		for {
-			verdict, ok := d.verdicts.Pop(ctx)
+			verdict, ok := sess.verdicts.Pop(ctx)
 			if !ok || stream.Send(verdict) != nil {
 				return
 			}
 		}
 	}()
-	err := p.read(ctx, stream, d)
+	err := p.handleCalls(ctx, stream, sess)
 	cancel()
 	<-done
 	return err
 }
 
-func (p *peerServer) read(ctx context.Context, stream inner.DRPCPeer_PlaceStream, d *session) error {
-	homes := p.gateway.homes
+func (p *peerServer) handleCalls(ctx context.Context, stream inner.DRPCPeer_PlaceStream, sess *session) error {
+	homes := p.gateway.homeServer
 	for ctx.Err() == nil {
 		call, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		id := placement.ID{Host: d.number, Number: call.Number}
+		id := placement.ID{Host: sess.id, Number: call.Number}
 		switch {
 		case call.Ask != nil:
-			homes.ask(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
+			homes.place(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
 		case call.End != nil && call.Service == "":
-			homes.abandon(inner.FromEnd(id, call.End))
+			homes.runEndedAnyService(inner.FromEnd(id, call.End))
 		case call.End != nil:
-			homes.done(call.Service, inner.FromEnd(id, call.End))
+			homes.runEnded(call.Service, inner.FromEnd(id, call.End))
 		case call.Withdraw:
 			homes.withdraw(call.Service, id)
 		}
@@ -78,11 +78,11 @@
 	return ctx.Err()
 }
 
-// followRing is how many changes may wait for a follower that reads slowly.
-const followRing = 64
+// followerQueueSize is how many changes may wait for a follower that reads slowly.
+const followerQueueSize = 64
 
-// news is what followers are told of the store.
-type news struct {
+// storeUpdate is what followers are told of the store.
+type storeUpdate struct {
 	changes  []platform.Change
 	revision int64
 	returned bool
@@ -90,41 +90,41 @@
 
 // followers are the hosts that hear of the store's changes from this one.
 type followers struct {
-	mu       sync.Mutex
-	last     uint64
-	byNumber map[uint64]*ring.Ring[news]
+	mu         sync.Mutex
+	lastNumber uint64
+	queues     map[uint64]*ring.Ring[storeUpdate]
 }
 
-// tell passes news on; a follower that is too slow loses its stream and begins anew.
-func (f *followers) tell(n news) {
+// broadcast passes news on; a follower that is too slow loses its stream and begins anew.
+func (f *followers) broadcast(n storeUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for number, r := range f.byNumber {
+	for number, r := range f.queues {
 		if !r.Push(n) {
-			delete(f.byNumber, number)
+			delete(f.queues, number)
 		}
 	}
 }
 
-func (f *followers) add() (uint64, *ring.Ring[news]) {
+func (f *followers) add() (uint64, *ring.Ring[storeUpdate]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.last++
-	r := ring.New[news](ring.Config{Capacity: followRing})
-	f.byNumber[f.last] = r
-	return f.last, r
+	f.lastNumber++
+	r := ring.New[storeUpdate](ring.Config{Capacity: followerQueueSize})
+	f.queues[f.lastNumber] = r
+	return f.lastNumber, r
 }
 
 func (f *followers) remove(number uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.byNumber, number)
+	delete(f.queues, number)
 }
 
-func (f *followers) holds(number uint64) bool {
+func (f *followers) contains(number uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, held := f.byNumber[number]
+	_, held := f.queues[number]
 	return held
 }
 
@@ -134,18 +134,18 @@
 	number, changes := g.followers.add()
 	defer g.followers.remove(number)
 	everything, revision := g.roster.Changes()
-	if err := stream.Send(toFollowReply(news{changes: everything, revision: revision})); err != nil {
+	if err := stream.Send(toFollowReply(storeUpdate{changes: everything, revision: revision})); err != nil {
 		return err
 	}
-	for g.followers.holds(number) {
-		wait, cancel := context.WithTimeout(stream.Context(), followAliveEvery)
+	for g.followers.contains(number) {
+		wait, cancel := context.WithTimeout(stream.Context(), followKeepAliveInterval)
 		n, ok := changes.Pop(wait)
 		cancel()
 		if stream.Context().Err() != nil {
 			return stream.Context().Err()
 		}
 		if !ok {
-			n = news{}
+			n = storeUpdate{}
 		}
 		if err := stream.Send(toFollowReply(n)); err != nil {
 			return err
@@ -154,7 +154,7 @@
 	return inner.ErrPeer.New("host %s could not keep up; following again from the start", g.settings.Host.Name)
 }
 
-func toFollowReply(n news) *inner.FollowStoreReply {
+func toFollowReply(n storeUpdate) *inner.FollowStoreReply {
 	reply := &inner.FollowStoreReply{Revision: n.revision, Returned: n.returned}
 	for _, c := range n.changes {
 		reply.Changes = append(reply.Changes, &inner.StoreChange{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
@@ -162,30 +162,32 @@
 	return reply
 }
 
-func fromFollowReply(reply *inner.FollowStoreReply) news {
-	n := news{revision: reply.Revision, returned: reply.Returned}
+func fromFollowReply(reply *inner.FollowStoreReply) storeUpdate {
+	n := storeUpdate{revision: reply.Revision, returned: reply.Returned}
 	for _, c := range reply.Changes {
 		n.changes = append(n.changes, platform.Change{Entry: platform.Entry{Key: c.Key, Value: c.Value, Revision: c.Revision}, Deleted: c.Deleted})
 	}
 	return n
 }
 
-// beatDuty sends heartbeats.
-func (g *Gateway) beatDuty(ctx context.Context) { g.beats.Run(ctx, g.kick, g.beat) }
+// runHeartbeats sends heartbeats.
+func (g *Gateway) runHeartbeats(ctx context.Context) {
+	g.heartbeats.Run(ctx, g.heartbeatNow, g.sendHeartbeats)
+}
 
-func (g *Gateway) beat(ctx context.Context) {
-	recipients := g.table.Beat(g.now())
-	if g.table.TakePaused() {
-		g.book.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: g.chain.Number()})
-		g.refreshReady()
+func (g *Gateway) sendHeartbeats(ctx context.Context) {
+	recipients := g.members.Beat(g.now())
+	if g.members.TakePaused() {
+		g.records.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: g.chain.Number()})
+		g.updateReady()
 	}
-	g.explainMembership()
-	g.beats.Round(ctx, g.withNeighbours(recipients))
+	g.recordMembershipChanges()
+	g.heartbeats.Round(ctx, g.addStoredNeighbours(recipients))
 }
 
-// withNeighbours adds the hosts that the store names while no peer is known.
-func (g *Gateway) withNeighbours(recipients []string) []string {
-	if len(g.table.Peers()) > 0 {
+// addStoredNeighbours adds the hosts that the store names while no peer is known.
+func (g *Gateway) addStoredNeighbours(recipients []string) []string {
+	if len(g.members.Peers()) > 0 {
 		return recipients
 	}
 	for _, address := range g.roster.View().Neighbours {
@@ -196,9 +198,9 @@
 	return recipients
 }
 
-// explainMembership writes a record for each change of the membership.
-func (g *Gateway) explainMembership() {
-	for _, e := range g.table.TakeEvents() {
-		g.book.Add(record.OfMembership(e, g.chain.Number()))
+// recordMembershipChanges writes a record for each change of the membership.
+func (g *Gateway) recordMembershipChanges() {
+	for _, e := range g.members.TakeEvents() {
+		g.records.Add(record.OfMembership(e, g.chain.Number()))
 	}
 }
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -13,12 +13,12 @@
 const (
 	// targetDialTimeout is how long a target may take to accept a connection; the opening packet is sent again after a second.
 	targetDialTimeout = 300 * time.Millisecond
-	// targetSilence is how long a target may leave bytes unacknowledged.
-	targetSilence = 2 * time.Second
-	// targetProof is how long after its last answer a connection may carry a request that must not run twice.
-	targetProof = 5 * time.Second
-	// targetConnections is the most connections of one host to one target.
-	targetConnections = 32
+	// targetUnackedTimeout is how long a target may leave bytes unacknowledged.
+	targetUnackedTimeout = 2 * time.Second
+	// targetProofTime is how long after its last answer a connection may carry a request that must not run twice.
+	targetProofTime = 5 * time.Second
+	// maxTargetConnections is the most connections of one host to one target.
+	maxTargetConnections = 32
 )
 
 // poolKey names one start of a target at one address.
@@ -48,22 +48,22 @@
 	held, known := p.byKey[key]
 	if !known {
 		held.Pool, held.close = backend.New(backend.Config{
-			Address: address, MaxConnections: targetConnections, DialTimeout: targetDialTimeout, ProofTime: targetProof,
-			Silence: targetSilence, Answers: p.gateway.answers, Dial: p.gateway.config.Dial,
+			Address: address, MaxConnections: maxTargetConnections, DialTimeout: targetDialTimeout, ProofTime: targetProofTime,
+			Silence: targetUnackedTimeout, Answers: p.gateway.responseMatches, Dial: p.gateway.config.Dial,
 		})
 		p.byKey[key] = held
 	}
 	return held.Pool
 }
 
-// answers reports whether a response belongs to a request; one that names no request may.
-func (g *Gateway) answers(r *http.Request, response *http.Response) bool {
+// responseMatches reports whether a response belongs to a request; one that names no request may.
+func (g *Gateway) responseMatches(r *http.Request, response *http.Response) bool {
 	id := response.Header.Get(g.dialect.AttemptIDHeader)
 	return id == "" || id == r.Header.Get(g.dialect.AttemptIDHeader)
 }
 
-// adopt closes the pools of targets that are gone.
-func (p *pools) adopt(v *roster.View) {
+// applyView closes the pools of targets that are gone.
+func (p *pools) applyView(v *roster.View) {
 	named := map[poolKey]bool{}
 	for _, list := range v.Targets {
 		for _, t := range list {
@@ -80,4 +80,4 @@
 	}
 }
 
-func (p *pools) close() { p.adopt(&roster.View{}) }
+func (p *pools) close() { p.applyView(&roster.View{}) }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -13,15 +13,15 @@
 // probeTimeout is how long a probe may take until its connection is given up.
 const probeTimeout = 400 * time.Millisecond
 
-// longestHealth bounds the bytes that are read of a health answer.
-const longestHealth = 4 << 10
+// maxHealthBytes bounds the bytes that are read of a health answer.
+const maxHealthBytes = 4 << 10
 
 // probe asks one target for its health and load.
-func (h *home) probe(ctx context.Context, p placement.Placed) {
-	g := h.homes.gateway
+func (h *serviceHome) probe(ctx context.Context, p placement.Placed) {
+	g := h.server.gateway
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	health, load := g.askHealth(ctx, p, h.health)
+	health, load := g.checkHealth(ctx, p, h.healthPath)
 	g.stats.probes.Add(1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -29,7 +29,7 @@
 	h.sendProbes()
 }
 
-func (g *Gateway) askHealth(ctx context.Context, p placement.Placed, path string) (placement.Health, *placement.Load) {
+func (g *Gateway) checkHealth(ctx context.Context, p placement.Placed, path string) (placement.Health, *placement.Load) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
 		return placement.Gone, nil
@@ -39,13 +39,13 @@
 		return placement.Gone, nil
 	}
 	defer response.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxHealthBytes)); err != nil {
 		return placement.Gone, nil
 	}
 	if name := response.Header.Get(g.dialect.InstanceHeader); name != "" && name != p.Target {
 		return placement.Replaced, nil
 	}
-	load := g.load(response.Header)
+	load := g.parseLoad(response.Header)
 	switch {
 	case response.StatusCode == http.StatusOK, response.Header.Get(g.dialect.NotRunHeader) != "":
 		return placement.Healthy, load
@@ -54,8 +54,8 @@
 	}
 }
 
-// load reads a target's own word on its load, or nil.
-func (g *Gateway) load(header http.Header) *placement.Load {
+// parseLoad reads a target's own word on its load, or nil.
+func (g *Gateway) parseLoad(header http.Header) *placement.Load {
 	text := header.Get(g.dialect.LoadHeader)
 	if text == "" {
 		return nil
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -20,9 +20,9 @@
 	callSlack     = 100 * time.Millisecond
 	drainBound    = 2500 * time.Millisecond
 	inForceBound  = 2500 * time.Millisecond
-	// settleTime is how long after the last fault everything must be in order again.
-	settleTime = 6 * time.Second
-	planLength = 8 * time.Second
+	// registerDelay is how long after the last fault everything must be in order again.
+	registerDelay = 6 * time.Second
+	planLength    = 8 * time.Second
 )
 
 // fault is one trouble of a plan.
@@ -129,7 +129,7 @@
 		time.Sleep(time.Duration(20+random.IntN(60)) * time.Millisecond)
 	}
 	group.Wait()
-	time.Sleep(settleTime)
+	time.Sleep(registerDelay)
 	for i := range x.plan.Hosts {
 		host := fmt.Sprintf("h%d", i)
 		if r := x.call(host, http.MethodGet, "/lookup/1", "after-"+host); r.err != nil || r.status != 200 {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -20,24 +20,24 @@
 // defaultLimits hold until a configuration names others.
 var defaultLimits = note.Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// lineSlack is what the request line and the reader's look-ahead may take beyond the header limit, in bytes.
-const lineSlack = 4 << 10
+// requestLineBytes is what the request line and the reader's look-ahead may take beyond the header limit, in bytes.
+const requestLineBytes = 4 << 10
 
 // request is what a caller sent.
 type request struct {
-	id      string
-	method  string
-	uri     string
-	path    string
-	host    string
-	header  http.Header
-	body    []byte
-	caller  string
-	arrived time.Duration
-	// patience is how long the caller will wait; zero means that it does not say.
-	patience time.Duration
-	// last is set when the caller sends nothing more on its connection.
-	last bool
+	attemptID     string
+	method        string
+	uri           string
+	path          string
+	host          string
+	header        http.Header
+	body          []byte
+	callerAddress string
+	arrived       time.Duration
+	// timeout is how long the caller will wait; zero means that it does not say.
+	timeout time.Duration
+	// closeAfter is set when the caller sends nothing more on its connection.
+	closeAfter bool
 	// release gives back the memory of the body.
 	release func()
 }
@@ -45,19 +45,19 @@
 // errHeaderTooLong reports a request head beyond the limit.
 var errHeaderTooLong = errors.New("request head is too long")
 
-// meteredReader stops reading once a request head has taken more than it may.
-type meteredReader struct {
+// limitedConn stops reading once a request head has taken more than it may.
+type limitedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
 // Read implements io.Reader.
-func (m *meteredReader) Read(p []byte) (int, error) {
-	if m.left <= 0 {
+func (m *limitedConn) Read(p []byte) (int, error) {
+	if m.remaining <= 0 {
 		return 0, errHeaderTooLong
 	}
-	n, err := m.Conn.Read(p[:min(len(p), m.left)])
-	m.left -= n
+	n, err := m.Conn.Read(p[:min(len(p), m.remaining)])
+	m.remaining -= n
 	return n, err
 }
 
@@ -72,24 +72,24 @@
 // readRequest reads one request whole. It returns neither when the caller has gone.
 func (c *callerConn) readRequest() (*request, *rejection) {
 	limits := c.gateway.limits()
-	if !c.awaitFirst(limits) {
+	if !c.awaitFirstByte(limits) {
 		return nil, nil
 	}
 	arrived := c.gateway.now()
-	_ = c.metered.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
+	_ = c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	r, err := http.ReadRequest(c.reader)
 	if err != nil {
-		return nil, rejectionOf(err)
+		return nil, rejectionFor(err)
 	}
 	// Bodies have a limit of their own.
-	c.metered.left = int(^uint(0) >> 1)
-	_ = c.metered.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
+	c.conn.remaining = int(^uint(0) >> 1)
+	_ = c.conn.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
 	q := &request{
-		id: r.Header.Get(c.gateway.dialect.AttemptIDHeader), method: r.Method, uri: r.RequestURI, path: r.URL.Path, host: r.Host,
-		header: r.Header, caller: c.address, arrived: arrived, last: r.Close || !r.ProtoAtLeast(1, 1), release: func() {},
+		attemptID: r.Header.Get(c.gateway.dialect.AttemptIDHeader), method: r.Method, uri: r.RequestURI, path: r.URL.Path, host: r.Host,
+		header: r.Header, callerAddress: c.address, arrived: arrived, closeAfter: r.Close || !r.ProtoAtLeast(1, 1), release: func() {},
 	}
 	if ms, err := strconv.ParseFloat(r.Header.Get(c.gateway.dialect.DeadlineHeader), 64); err == nil && ms > 0 {
-		q.patience = time.Duration(ms * float64(time.Millisecond))
+		q.timeout = time.Duration(ms * float64(time.Millisecond))
 	}
 	if r.ContentLength == 0 {
 		return q, nil
@@ -97,15 +97,15 @@
 	return c.readBody(q, r, limits)
 }
 
-// awaitFirst waits for the first byte of a request and reports whether one came.
-func (c *callerConn) awaitFirst(limits note.Limits) bool {
-	c.metered.left = limits.HeaderBytes + lineSlack
+// awaitFirstByte waits for the first byte of a request and reports whether one came.
+func (c *callerConn) awaitFirstByte(limits note.Limits) bool {
+	c.conn.remaining = limits.HeaderBytes + requestLineBytes
 	c.setIdleDeadline(limits.IdleTimeout)
 	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-func rejectionOf(err error) *rejection {
+func rejectionFor(err error) *rejection {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, errHeaderTooLong):
@@ -124,7 +124,7 @@
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		if _, err := io.WriteString(c.metered.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(c.conn.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, nil
 		}
 	}
@@ -132,23 +132,23 @@
 	if reserved < 0 {
 		reserved = int64(c.gateway.settings.Limits.KeyedBodyBytes)
 	}
-	if !c.gateway.bodies.take(reserved) {
-		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedReturn}
+	if !c.gateway.bodies.acquire(reserved) {
+		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedRetryAfter}
 	}
-	q.release = func() { c.gateway.bodies.give(reserved) }
+	q.release = func() { c.gateway.bodies.release(reserved) }
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(limits.BodyBytes)+1))
 	switch {
 	case err != nil:
 		q.release()
-		return nil, rejectionOf(err)
+		return nil, rejectionFor(err)
 	case len(body) > limits.BodyBytes:
 		q.release()
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
 	}
 	if more := int64(len(body)) - reserved; more > 0 {
-		if !c.gateway.bodies.take(more) {
+		if !c.gateway.bodies.acquire(more) {
 			q.release()
-			return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedReturn}
+			return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedRetryAfter}
 		}
 		reserved += more
 	}
@@ -167,7 +167,7 @@
 // fingerprint is the same for requests with the same caller, path and body.
 func (q *request) fingerprint() uint64 {
 	d := xxhash.New()
-	for _, part := range []string{q.caller, q.host, q.method, q.uri} {
+	for _, part := range []string{q.callerAddress, q.host, q.method, q.uri} {
 		// A hash never fails to write.
 		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
@@ -179,21 +179,21 @@
 // bodyBudget bounds the memory that request bodies take.
 type bodyBudget struct {
 	limit int64
-	held  atomic.Int64
+	used  atomic.Int64
 }
 
-func (b *bodyBudget) take(n int64) bool {
-	if b.held.Add(n) > b.limit {
-		b.held.Add(-n)
+func (b *bodyBudget) acquire(n int64) bool {
+	if b.used.Add(n) > b.limit {
+		b.used.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (b *bodyBudget) give(n int64) { b.held.Add(-n) }
+func (b *bodyBudget) release(n int64) { b.used.Add(-n) }
 
 // newReader returns the buffered reader of a caller's connection.
-func newReader(m *meteredReader) *bufio.Reader { return bufio.NewReaderSize(m, callerReadBytes) }
+func newReader(m *limitedConn) *bufio.Reader { return bufio.NewReaderSize(m, callerReadBytes) }
 
 // requestContext ends when the caller leaves, for requests that may be given up.
 func (c *callerConn) requestContext(repeatable bool) context.Context {
--- a/internal/gateway/trace.go
+++ b/internal/gateway/request_log.go
@@ -15,70 +15,70 @@
 
 // Bounds of the log of requests.
 const (
-	// traceBacklog is how many lines may wait for the writer.
-	traceBacklog = 512
-	// plainLines and oddLines are how many lines a second requests get that met their goal at the first try, and all others.
-	plainLines = 10
-	oddLines   = 100
+	// logQueueSize is how many lines may wait for the writer.
+	logQueueSize = 512
+	// routineLinesPerSecond and oddLines are how many lines a second requests get that met their goal at the first try, and all others.
+	routineLinesPerSecond = 10
+	notableLinesPerSecond = 100
 )
 
-// line is what the log tells of one request.
-type line struct {
+// logEntry is what the log tells of one request.
+type logEntry struct {
 	at                       time.Time
 	id, rule, service, home  string
 	outcome, reason, targets string
 	status, note             int
 	asks, hedges             int
 	queued, sent, late       bool
-	took, left               time.Duration
+	took, remaining          time.Duration
 	// decided is what the home based its last decision on.
 	decided placement.Verdict
 }
 
-// trace writes lines without ever holding up a request.
-type trace struct {
-	logger     zerolog.Logger
-	lines      *ring.Ring[line]
-	plain, odd *rate.Limiter
-	unwritten  atomic.Int64
+// requestLog writes lines without ever holding up a request.
+type requestLog struct {
+	logger           zerolog.Logger
+	entries          *ring.Ring[logEntry]
+	routine, notable *rate.Limiter
+	unwritten        atomic.Int64
 }
 
-func newTrace(logger zerolog.Logger) (*trace, func()) {
-	t := &trace{
-		logger: logger, lines: ring.New[line](ring.Config{Capacity: traceBacklog}),
-		plain: rate.NewLimiter(plainLines, plainLines), odd: rate.NewLimiter(oddLines, oddLines),
+func newTrace(logger zerolog.Logger) (*requestLog, func()) {
+	r := &requestLog{
+		logger: logger, entries: ring.New[logEntry](ring.Config{Capacity: logQueueSize}),
+		routine: rate.NewLimiter(routineLinesPerSecond, routineLinesPerSecond), notable: rate.NewLimiter(notableLinesPerSecond, notableLinesPerSecond),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			l, ok := t.lines.Pop(ctx)
+			l, ok := r.entries.Pop(ctx)
 			if !ok {
 				return
 			}
-			t.write(l)
+			r.write(l)
 		}
 	}()
-	return t, func() {
+	return r, func() {
 		cancel()
 		<-done
 	}
 }
 
 // add queues a line unless there were too many lately.
-func (t *trace) add(l line) {
-	limiter := t.odd
+func (r *requestLog) add(l logEntry) {
+	limiter := r.notable
 	if l.status < 300 && l.asks == 1 && l.hedges == 0 && l.sent && !l.late {
-		limiter = t.plain
+		limiter = r.routine
 	}
-	if !limiter.Allow() || !t.lines.Push(l) {
-		t.unwritten.Add(1)
+	if !limiter.Allow() || !r.entries.Push(l) {
+		r.unwritten.Add(1)
 	}
 }
 
-func (t *trace) write(l line) {
-	e := t.logger.Info()
+func (r *requestLog) write(l logEntry) {
+	e := r.logger.Info()
 	switch d := l.decided.(type) {
 	case placement.Placed:
 		e.Dur("ExpectedMilliseconds", d.Expected).Dur("KnowledgeAgeMilliseconds", d.KnowledgeAge)
@@ -89,39 +89,39 @@
 		Time("At", l.at).Str("Request", l.id).Str("Rule", l.rule).Str("Service", l.service).Str("Home", l.home).
 		Str("Targets", l.targets).Str("Outcome", l.outcome).Str("Reason", l.reason).Int("Status", l.status).Int("Note", l.note).
 		Int("Asks", l.asks).Int("Hedges", l.hedges).Bool("Queued", l.queued).Bool("Sent", l.sent).Bool("Late", l.late).
-		Dur("TookMilliseconds", l.took).Dur("LeftMilliseconds", l.left).Int64("Unwritten", t.unwritten.Load()).
+		Dur("TookMilliseconds", l.took).Dur("LeftMilliseconds", l.remaining).Int64("Unwritten", r.unwritten.Load()).
 		Msg("request ended")
 }
 
 // stats are the counters that the metrics address shows.
 type stats struct {
 	requests, attempts, probes, storeCalls, silentHomes, slowReaders, rejected atomic.Int64
-	answered, refused, failed, notFound, cut                                   atomic.Int64
+	answered, refused, failed, notFound, truncated                             atomic.Int64
 }
 
 // finish counts and logs how a request ended.
-func (g *Gateway) finish(x *exchange, a *answer, sent bool) {
+func (g *Gateway) finish(x *exchange, response *callerResponse, sent bool) {
 	took := g.now() - x.request.arrived
 	s := &g.stats
 	switch {
 	case !sent:
-		s.cut.Add(1)
-	case a.reason == "":
+		s.truncated.Add(1)
+	case response.reason == "":
 		s.answered.Add(1)
-	case a.status == 503:
+	case response.status == 503:
 		s.refused.Add(1)
-	case a.status == 404:
+	case response.status == 404:
 		s.notFound.Add(1)
 	default:
 		s.failed.Add(1)
 	}
-	l := line{
-		at: time.Now().UTC(), id: x.request.id, rule: x.rule.Name, service: x.service, outcome: x.lastOutcome, reason: a.reason,
-		status: a.status, note: x.number, asks: x.asks, hedges: x.hedges, queued: x.queued, sent: sent, took: took,
-		left: x.deadline - g.now(), late: x.matched && g.now() > x.goal, decided: x.decided,
+	l := logEntry{
+		at: time.Now().UTC(), id: x.request.attemptID, rule: x.rule.Name, service: x.service, outcome: x.lastOutcome, reason: response.reason,
+		status: response.status, note: x.noteNumber, asks: x.homesAsked, hedges: x.hedges, queued: x.queued, sent: sent, took: took,
+		remaining: x.deadline - g.now(), late: x.ruleFound && g.now() > x.goal, decided: x.verdict,
 	}
-	if x.decider != nil {
-		l.home = x.decider.name()
+	if x.placer != nil {
+		l.home = x.placer.name()
 	}
 	for i, target := range x.tried {
 		if i > 0 {
@@ -129,8 +129,8 @@
 		}
 		l.targets += target
 	}
-	g.trace.add(l)
-	if x.matched {
+	g.requestLog.add(l)
+	if x.ruleFound {
 		g.histograms.Record(meter.Key{Service: x.service, Class: x.rule.Class}, took)
 	}
 }
--- /dev/null
+++ b/internal/gateway/response.go
@@ -0,0 +1,147 @@
+package gateway
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"briarcroft/internal/placement"
+)
+
+// maxBufferedResponse is the largest answer that is read whole before its caller sees a byte, so that a cut one can be asked for again.
+const maxBufferedResponse = 1 << 20
+
+// callerResponse is what a caller gets.
+type callerResponse struct {
+	status int
+	header http.Header
+	body   []byte
+	// unread is what follows body of an answer too large to hold; its length is unknown when length is below zero.
+	unread io.ReadCloser
+	length int64
+	// reason explains an answer of the host's own; it is empty for a target's.
+	reason string
+}
+
+// localResponse returns an answer of the host's own; retryAfter is zero where coming back makes no sense.
+func localResponse(status int, reason string, retryAfter time.Duration) *callerResponse {
+	r := &callerResponse{status: status, header: http.Header{}, reason: reason}
+	r.header.Set("Content-Type", "text/plain; charset=utf-8")
+	r.header.Set("Briarcroft-Reason", reason)
+	if retryAfter > 0 {
+		r.header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	}
+	r.body = []byte(reason + "\n")
+	r.length = int64(len(r.body))
+	return r
+}
+
+// refusalResponse returns the answer for a request that was not run and will not be.
+func refusalResponse(r placement.Refused) *callerResponse {
+	return localResponse(http.StatusServiceUnavailable, string(r.Reason), r.RetryAfter)
+}
+
+// writeResponse sends an answer and reports whether all of it was sent.
+func (c *callerConn) writeResponse(q *request, r *callerResponse, closing bool) bool {
+	conn := c.conn.Conn
+	_ = conn.SetWriteDeadline(time.Now().Add(stallTimeout))
+	w := callerWriters.Get().(*bufio.Writer)
+	w.Reset(conn)
+	defer callerWriters.Put(w)
+	if r.unread != nil {
+		defer r.unread.Close()
+	}
+	if err := writeResponseHead(w, q, r, closing); err != nil {
+		return false
+	}
+	if q.method == http.MethodHead {
+		return w.Flush() == nil
+	}
+	if r.unread != nil && r.length < 0 {
+		return c.writeChunked(w, r) == nil
+	}
+	if _, err := w.Write(r.body); err != nil {
+		return false
+	}
+	if r.unread != nil {
+		n, err := io.Copy(stallWriter{c, w}, r.unread)
+		if err != nil || int64(len(r.body))+n != r.length {
+			return false
+		}
+	}
+	return w.Flush() == nil
+}
+
+func writeResponseHead(w *bufio.Writer, q *request, r *callerResponse, closing bool) error {
+	if _, err := fmt.Fprintf(w, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status)); err != nil {
+		return err
+	}
+	r.header.Del("Content-Length")
+	switch {
+	case r.status == http.StatusNoContent || r.status == http.StatusNotModified:
+	case r.length < 0:
+		r.header.Set("Transfer-Encoding", "chunked")
+	default:
+		r.header.Set("Content-Length", strconv.FormatInt(r.length, 10))
+	}
+	if closing || q.closeAfter {
+		r.header.Set("Connection", "close")
+	}
+	if err := r.header.Write(w); err != nil {
+		return err
+	}
+	_, err := w.WriteString("\r\n")
+	return err
+}
+
+// writeChunked sends an answer of unknown length; without its last chunk it does not look complete.
+func (c *callerConn) writeChunked(w *bufio.Writer, r *callerResponse) error {
+	chunks := chunkWriter{c, w}
+	if _, err := chunks.Write(r.body); err != nil {
+		return err
+	}
+	if _, err := io.Copy(chunks, r.unread); err != nil {
+		return err
+	}
+	if _, err := w.WriteString("0\r\n\r\n"); err != nil {
+		return err
+	}
+	return w.Flush()
+}
+
+// chunkWriter writes each piece as one chunk.
+type chunkWriter struct {
+	c *callerConn
+	w *bufio.Writer
+}
+
+// Write implements io.Writer.
+func (k chunkWriter) Write(p []byte) (int, error) {
+	if len(p) == 0 {
+		return 0, nil
+	}
+	if _, err := fmt.Fprintf(k.w, "%x\r\n", len(p)); err != nil {
+		return 0, err
+	}
+	n, err := stallWriter(k).Write(p)
+	if err != nil {
+		return n, err
+	}
+	_, err = k.w.WriteString("\r\n")
+	return n, err
+}
+
+// stallWriter gives the caller new time with each piece.
+type stallWriter struct {
+	c *callerConn
+	w *bufio.Writer
+}
+
+// Write implements io.Writer.
+func (s stallWriter) Write(p []byte) (int, error) {
+	_ = s.c.conn.Conn.SetWriteDeadline(time.Now().Add(stallTimeout))
+	return s.w.Write(p)
+}
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -46,27 +46,27 @@
 	return note.Rule{}, false
 }
 
-// shares divides the requests of rules that name several services.
-type shares struct {
-	mu     sync.Mutex
-	byRule map[string][]float64
+// trafficSplit divides the requests of rules that name several services.
+type trafficSplit struct {
+	mu      sync.Mutex
+	credits map[string][]float64
 }
 
 // choose returns the service for the next request of a rule. Each service's credit grows by its weight and the
 // richest one pays for the request, so that any few requests in a row are divided as the weights say.
-func (s *shares) choose(r note.Rule) string {
+func (s *trafficSplit) choose(r note.Rule) string {
 	if len(r.Shares) == 0 {
 		return r.Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.byRule == nil {
-		s.byRule = map[string][]float64{}
+	if s.credits == nil {
+		s.credits = map[string][]float64{}
 	}
-	credit := s.byRule[r.Name]
+	credit := s.credits[r.Name]
 	if len(credit) != len(r.Shares) {
 		credit = make([]float64, len(r.Shares))
-		s.byRule[r.Name] = credit
+		s.credits[r.Name] = credit
 	}
 	total, best := 0.0, 0
 	for i, share := range r.Shares {
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -24,7 +24,7 @@
 			rule.Shares = append(rule.Shares, note.Share{Service: string(rune('a' + i)), Weight: weight})
 			total += weight
 		}
-		var s shares
+		var s trafficSplit
 		counts := map[string]int{}
 		for n := 1; n <= 400; n++ {
 			counts[s.choose(rule)]++
