--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -184,7 +184,7 @@
 		x.placer = p
 		x.homesAsked++
 		p.place(x.pending, x.placementRequest())
-		v, ended := x.awaitVerdict(ctx, p)
+		v, timedOut := x.awaitVerdict(ctx, p)
 		switch v := v.(type) {
 		case placement.Placed:
 			p.verdictReceived()
@@ -194,7 +194,7 @@
 			return nil, &v
 		}
 		p.withdraw(x.pending)
-		if ended {
+		if timedOut {
 			return nil, nil
 		}
 	}
@@ -209,9 +209,9 @@
 }
 
 // awaitVerdict waits for a home's decision; it returns nil when the home gives none, and ended when the time is over.
-func (x *exchange) awaitVerdict(ctx context.Context, p placer) (v placement.Verdict, ended bool) {
-	ack := time.NewTimer(firstVerdictTimeout)
-	defer ack.Stop()
+func (x *exchange) awaitVerdict(ctx context.Context, p placer) (v placement.Verdict, timedOut bool) {
+	timer := time.NewTimer(firstVerdictTimeout)
+	defer timer.Stop()
 	for {
 		select {
 		case e := <-x.pending.events:
@@ -228,11 +228,11 @@
 				return e.verdict, false
 			case placement.Queued:
 				x.queued = true
-				ack.Stop()
+				timer.Stop()
 			case placement.Hedge:
 				x.releaseSlot(e)
 			}
-		case <-ack.C:
+		case <-timer.C:
 			x.gateway.homeClient.suspect(p.name())
 			x.gateway.stats.silentHomes.Add(1)
 			return nil, false
@@ -244,7 +244,7 @@
 
 // releaseSlot gives back a place that comes too late.
 func (x *exchange) releaseSlot(e placementEvent) {
-	if target, held := reservedTarget(e.verdict); held {
+	if target, reserved := reservedTarget(e.verdict); reserved {
 		e.placer.endRun(x.pending, placement.Done{Target: target, Outcome: placement.Abandoned})
 	}
 }
@@ -253,19 +253,19 @@
 func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *result {
 	runs := hedgedRuns{exchange: x, results: make(chan *result, 2)}
 	runs.start(ctx, x.placer, placed)
-	var worst *result
+	var best *result
 	for {
 		select {
 		case r := <-runs.results:
 			runs.active--
-			worst = moreConclusive(r, worst)
+			best = moreConclusive(r, best)
 			if r.outcome == placement.Answered || runs.active == 0 {
-				runs.cancelOthers(worst)
-				return worst
+				runs.cancelOthers(best)
+				return best
 			}
 		case e := <-x.pending.events:
-			hedge, is := e.verdict.(placement.Hedge)
-			if !is || e.placer != x.placer || runs.active != 1 || !x.mayRetry(ctx) {
+			hedge, isHedge := e.verdict.(placement.Hedge)
+			if !isHedge || e.placer != x.placer || runs.active != 1 || !x.mayRetry(ctx) {
 				x.releaseSlot(e)
 				continue
 			}
@@ -286,21 +286,21 @@
 
 func (u *hedgedRuns) start(ctx context.Context, from placer, placed placement.Placed) {
 	ctx, cancel := context.WithCancel(ctx)
-	run := len(u.cancels)
+	index := len(u.cancels)
 	u.cancels = append(u.cancels, cancel)
 	u.active++
 	u.exchange.tried = append(u.exchange.tried, placed.Target)
 	go func() {
 		r := u.exchange.runOn(ctx, from, placed)
-		r.index = run
+		r.index = index
 		u.results <- r
 	}()
 }
 
 // cancelOthers ends all runs but the one whose answer goes on.
 func (u *hedgedRuns) cancelOthers(kept *result) {
-	for run, cancel := range u.cancels {
-		if run != kept.index {
+	for index, cancel := range u.cancels {
+		if index != kept.index {
 			cancel()
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,8 +58,8 @@
 	ParseLoad func(string) (placement.Load, bool)
 	// Decode reads entries of the store.
 	Decode roster.DecodeFunc
-	// NeighbourKey is the store key under which a host leaves its inner address.
-	NeighbourKey func(host string) string
+	// PeerKey is the store key under which a host leaves its inner address.
+	PeerKey func(host string) string
 	// ReadyPath and AddressesPath are answered on the ready and the directory address.
 	ReadyPath     string
 	AddressesPath string
@@ -152,9 +152,9 @@
 	var endAll context.CancelFunc
 	g.background, endAll = context.WithCancel(context.Background())
 	g.rules.Store(&ruleIndex{})
-	g.homeServer = newHomes(g)
+	g.homeServer = newHomeServer(g)
 	g.pools = newPools(g)
-	g.homeClient = newLinks(g)
+	g.homeClient = newHomeClient(g)
 	g.followers.queues = map[uint64]*ring.Ring[storeUpdate]{}
 	g.roster = roster.New(roster.Config{Decode: c.Dialect.Decode, OnRefused: g.recordRejectedEntry, OnChange: g.applyView})
 	return g, func() {
--- a/internal/gateway/home_client.go
+++ b/internal/gateway/home_client.go
@@ -12,69 +12,76 @@
 	"briarcroft/internal/ring"
 )
 
-// Times and sizes of the conversations with homes.
+// Times and sizes of the placement streams to homes.
 const (
-	// homeSilenceTimeout is how long a home may send nothing: three times what passes between two of its signs of life.
+	// homeSilenceTimeout is how long a home may send nothing while requests wait for it: three keep-alive intervals.
 	homeSilenceTimeout = 3 * keepAliveInterval
-	// idleSendWait is the pause between two looks at a conversation in which no request waits.
+	// idleSendWait is how often a stream on which no request waits is checked.
 	idleSendWait = time.Minute
-	// suspectTime is how long a home that did not answer is passed over.
+	// suspectTime is how long a home that did not answer is not asked again.
 	suspectTime = 500 * time.Millisecond
-	// placeCallQueueSize is how many calls may wait for a home that reads slowly.
+	// placeCallQueueSize is the number of calls that may be queued for a home that reads slowly.
 	placeCallQueueSize = 1024
-	// maxRemoteHomes is how many homes are asked before a host decides alone.
+	// maxRemoteHomes is how many other hosts are asked before this host places the request itself.
 	maxRemoteHomes = 2
-	// rankCacheTime is how long the order of a service's homes is kept.
+	// rankCacheTime is how long the ranking of a service's homes is cached.
 	rankCacheTime = 50 * time.Millisecond
 )
 
-// placementEvent is what a decider tells an inquiry: a verdict, or that the conversation has ended.
+// placementEvent tells a pending request about a verdict, or that the stream to its placer has ended.
 type placementEvent struct {
 	placer       placer
 	verdict      placement.Verdict
 	disconnected bool
 }
 
-// pendingRequest is one request's questions to homes, and what they answer.
+// pendingRequest receives the verdicts for one request of a caller, from every placer that was asked.
 type pendingRequest struct {
 	number  uint64
 	service string
 	events  chan placementEvent
 }
 
-// placer is whoever decides on a place: a remoteHome or the localHome.
+// placer decides which target runs a request: a remoteHome or the localHome.
 type placer interface {
-	// name is the host that decides.
+	// name returns the name of the host that decides.
 	name() string
+	// place asks for a target; verdicts follow as events of the pending request.
 	place(p *pendingRequest, r *placement.Request)
+	// endRun reports the end of a run, which frees its slot on the target.
 	endRun(p *pendingRequest, d placement.Done)
+	// withdraw takes back a call of place that has no verdict yet.
 	withdraw(p *pendingRequest)
-	// verdictReceived notes that an ask has its verdict; withdraw does so for one without.
+	// verdictReceived must be called once a call of place has its final verdict, unless withdraw was called.
 	verdictReceived()
 }
 
-// homeClient holds the conversations with homes.
+// homeClient sends the requests of this host's callers to the homes of their services, over one placement stream to
+// each home, and passes the verdicts on.
 type homeClient struct {
 	gateway    *Gateway
 	lastNumber atomic.Uint64
 	mu         sync.Mutex
 	pending    map[uint64]*pendingRequest
-	remotes    map[string]*remoteHome
-	suspects   map[string]time.Duration
-	ranks      map[string]cachedRank
-	local      *localHome
-	ctx        context.Context
-	cancel     context.CancelFunc
-	tasks      sync.WaitGroup
+	// remotes holds the streams by the name of the host at the other end.
+	remotes map[string]*remoteHome
+	// suspects holds until when a host is not asked, by its name.
+	suspects map[string]time.Duration
+	// ranks is keyed by service.
+	ranks  map[string]cachedRank
+	local  *localHome
+	ctx    context.Context
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 }
 
-// cachedRank is the order of a service's homes, as of a time.
+// cachedRank is the order in which hosts are home to a service, as computed at a time of Gateway.now.
 type cachedRank struct {
 	at      time.Duration
 	members []host.Member
 }
 
-func newLinks(g *Gateway) *homeClient {
+func newHomeClient(g *Gateway) *homeClient {
 	c := &homeClient{
 		gateway: g, pending: map[uint64]*pendingRequest{}, remotes: map[string]*remoteHome{}, suspects: map[string]time.Duration{}, ranks: map[string]cachedRank{},
 	}
@@ -89,7 +96,7 @@
 	c.tasks.Wait()
 }
 
-// register begins an inquiry; close it with done.
+// register returns a new pending request of a service, which must be given to unregister in the end.
 func (c *homeClient) register(service string) *pendingRequest {
 	p := &pendingRequest{number: c.lastNumber.Add(1), service: service, events: make(chan placementEvent, 8)}
 	c.mu.Lock()
@@ -104,7 +111,8 @@
 	delete(c.pending, p.number)
 }
 
-// deliver hands a verdict to its inquiry and reports whether somebody takes it.
+// deliver passes a verdict to its pending request. It returns false when the request is no longer pending or its
+// queue is full; a slot that the verdict reserves must then be released.
 func (c *homeClient) deliver(number uint64, from placer, v placement.Verdict) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +128,7 @@
 	}
 }
 
-// notifyDisconnected tells every inquiry that a conversation has ended.
+// notifyDisconnected tells every pending request that the stream to a placer has ended.
 func (c *homeClient) notifyDisconnected(from placer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,25 +136,27 @@
 		select {
 		case p.events <- placementEvent{placer: from, disconnected: true}:
 		default:
-			// The inquiry has more verdicts than it can use.
+			// A full queue holds more verdicts than the request can use.
 		}
 	}
 }
 
-// rankedHomes returns the ready hosts in the order in which they are home to a service.
+// rankedHomes returns the ready hosts in the order in which they are asked to place requests of a service. The first
+// is the service's primary home.
 func (c *homeClient) rankedHomes(service string) []host.Member {
 	now := c.gateway.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r, known := c.ranks[service]
-	if !known || now-r.at > rankCacheTime {
+	r, cached := c.ranks[service]
+	if !cached || now-r.at > rankCacheTime {
 		r = cachedRank{now, host.Rank(service, c.gateway.members.Live(now))}
 		c.ranks[service] = r
 	}
 	return r.members
 }
 
-// placers returns where to ask for a place, best first; the last is always this host.
+// placers returns the homes to ask, best first. The last one is always this host, so that requests are placed even
+// when no home can be reached.
 func (c *homeClient) placers(service string) []placer {
 	now := c.gateway.now()
 	self := c.gateway.settings.Host.Name
@@ -165,14 +175,14 @@
 	return append(list, c.local)
 }
 
-// suspect passes a home over for a while.
+// suspect excludes a home from placers for suspectTime.
 func (c *homeClient) suspect(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.suspects[name] = c.gateway.now() + suspectTime
 }
 
-// remote returns the conversation with a home, beginning it when there is none, or nil while the home is passed over.
+// remote returns the stream to a home, opening it if necessary, or nil while the home is suspected.
 func (c *homeClient) remote(now time.Duration, m host.Member) *remoteHome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +207,7 @@
 	return h
 }
 
-// remoteHome is the conversation with another host that decides.
+// remoteHome is the placement stream to another host.
 type remoteHome struct {
 	client        *homeClient
 	host, address string
@@ -205,23 +215,25 @@
 	calls         *ring.Ring[*inner.PlaceCall]
 	ctx           context.Context
 	cancel        context.CancelFunc
-	// lastReceived is when the home last sent anything, on the host's clock, and waiting counts the requests that have no place yet.
+	// lastReceived is the time of Gateway.now at which the home last sent anything, in nanoseconds.
 	lastReceived atomic.Int64
-	waiting      atomic.Int64
+	// waiting counts the requests without a final verdict.
+	waiting atomic.Int64
 }
 
 func (h *remoteHome) name() string { return h.host }
 
+// queueCall queues a message for the home; it closes the stream when the queue is full.
 func (h *remoteHome) queueCall(c *inner.PlaceCall) {
 	if !h.calls.Push(c) {
-		// A home that does not read is as good as gone.
+		// A home that does not read its stream is treated as unreachable.
 		h.cancel()
 	}
 }
 
 func (h *remoteHome) place(p *pendingRequest, r *placement.Request) {
 	if h.waiting.Add(1) == 1 {
-		// Silence counts from now on.
+		// An idle home sends no keep-alive messages, so its silence is measured from the first waiting request.
 		h.lastReceived.Store(int64(h.client.gateway.now()))
 	}
 	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Ask: inner.ToAsk(h.client.gateway.now(), r)})
@@ -238,7 +250,7 @@
 	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Withdraw: true})
 }
 
-// run carries the conversation until it ends.
+// run opens the stream and serves it until either side ends it.
 func (h *remoteHome) run() {
 	defer h.handleEnd()
 	defer h.cancel()
@@ -257,7 +269,7 @@
 	<-done
 }
 
-// handleEnd forgets the conversation and tells the inquiries.
+// handleEnd removes the ended stream, suspects its host and notifies the pending requests.
 func (h *remoteHome) handleEnd() {
 	h.client.mu.Lock()
 	if h.client.remotes[h.host] == h {
@@ -268,15 +280,16 @@
 	h.client.notifyDisconnected(h)
 }
 
-// send hands calls to the home and ends the conversation once the home has been silent for too long while requests wait.
+// send writes queued calls to the stream. It returns when the stream ends, or when the home has sent nothing for
+// homeSilenceTimeout while requests wait.
 func (h *remoteHome) send(stream inner.DRPCPeer_PlaceClient) {
 	for h.ctx.Err() == nil {
-		pause := idleSendWait
+		wait := idleSendWait
 		if h.waiting.Load() > 0 {
-			pause = keepAliveInterval
+			wait = keepAliveInterval
 		}
-		wait, cancel := context.WithTimeout(h.ctx, pause)
-		call, ok := h.calls.Pop(wait)
+		waitCtx, cancel := context.WithTimeout(h.ctx, wait)
+		call, ok := h.calls.Pop(waitCtx)
 		cancel()
 		if ok && stream.Send(call) != nil {
 			return
@@ -287,24 +300,25 @@
 	}
 }
 
+// receive delivers verdicts until the stream ends and releases the slots of those that nobody waits for any more.
 func (h *remoteHome) receive(stream inner.DRPCPeer_PlaceClient) {
 	for {
-		wire, err := stream.Recv()
+		message, err := stream.Recv()
 		if err != nil {
 			return
 		}
 		h.lastReceived.Store(int64(h.client.gateway.now()))
-		v := inner.FromVerdict(wire)
-		if v == nil || h.client.deliver(wire.Number, h, v) {
+		v := inner.FromVerdict(message)
+		if v == nil || h.client.deliver(message.Number, h, v) {
 			continue
 		}
-		if target, held := reservedTarget(v); held {
-			h.queueCall(&inner.PlaceCall{Number: wire.Number, End: inner.ToEnd(placement.Done{Target: target, Outcome: placement.Abandoned})})
+		if target, reserved := reservedTarget(v); reserved {
+			h.queueCall(&inner.PlaceCall{Number: message.Number, End: inner.ToEnd(placement.Done{Target: target, Outcome: placement.Abandoned})})
 		}
 	}
 }
 
-// reservedTarget returns the target that a verdict holds a place on.
+// reservedTarget returns the target on which a verdict reserves a slot, if it reserves one.
 func reservedTarget(v placement.Verdict) (string, bool) {
 	switch v := v.(type) {
 	case placement.Placed:
@@ -315,7 +329,7 @@
 	return "", false
 }
 
-// localHome is the decision on this host itself.
+// localHome places requests on this host itself, without a network connection.
 type localHome struct {
 	client  *homeClient
 	session *session
@@ -323,6 +337,7 @@
 
 func (h *localHome) name() string { return h.client.gateway.settings.Host.Name }
 
+// id returns the identifier under which the home server knows a pending request of this host.
 func (h *localHome) id(number uint64) placement.ID {
 	return placement.ID{Host: h.session.id, Number: number}
 }
@@ -337,24 +352,24 @@
 	h.client.gateway.homeServer.runEnded(p.service, d)
 }
 
-// verdictReceived implements decider: the own host's decisions can't fall silent.
+// verdictReceived implements placer; it has nothing to count because a local home cannot become unreachable.
 func (h *localHome) verdictReceived() {}
 
 func (h *localHome) withdraw(p *pendingRequest) {
 	h.client.gateway.homeServer.withdraw(p.service, h.id(p.number))
 }
 
-// handleVerdict gets a verdict under the lock of the decision.
+// handleVerdict delivers a verdict; its caller holds the lock of the service's placement state.
 func (h *localHome) handleVerdict(number uint64, v placement.Verdict) {
 	if h.client.deliver(number, h, v) {
 		return
 	}
-	target, held := reservedTarget(v)
-	if !held {
+	target, reserved := reservedTarget(v)
+	if !reserved {
 		return
 	}
 	h.client.tasks.Go(func() {
-		// The service is not known here any more; the home finds the run by its number.
+		// The pending request is gone and with it the name of the service. The lock is held, hence the goroutine.
 		h.client.gateway.homeServer.runEndedAnyService(placement.Done{ID: h.id(number), Target: target, Outcome: placement.Abandoned})
 	})
 }
--- a/internal/gateway/home_server.go
+++ b/internal/gateway/home_server.go
@@ -15,40 +15,44 @@
 	"briarcroft/internal/route"
 )
 
-// Times of the homes.
+// Intervals of the placement timers.
 const (
-	// tickInterval is the time between two runs of the timers of services that have requests.
+	// tickInterval is the time between two runs of the placement timers while any service has requests.
 	tickInterval = 10 * time.Millisecond
-	// idleTickInterval is the same while no service has any.
+	// idleTickInterval is the time between two runs of the placement timers while no service has requests.
 	idleTickInterval = 100 * time.Millisecond
-	// keepAliveInterval is how often a home shows hosts that wait for a place that it still listens.
+	// keepAliveInterval is how often a home sends a keep-alive message to hosts whose requests it has queued.
 	keepAliveInterval = 150 * time.Millisecond
 )
 
-// Shares of the retry slack. All homes and all hosts that decide alone must stay within it together.
+// Shares of the retry slack and ratio of the settings. The primary home of a service and all fallback homes together
+// must stay within the whole.
 const (
+	// primarySlackShare is the share of the slack that the primary home of a service gets.
 	primarySlackShare = 0.4
-	standInSlackShare = 0.4
-	// retryRatioShare leaves room for repeats that were decided by a home that has just been replaced.
+	// fallbackSlackShare is the share of the slack that all fallback homes divide among them.
+	fallbackSlackShare = 0.4
+	// retryRatioShare leaves room for extra attempts that were granted by a home that has just been replaced.
 	retryRatioShare = 0.9
 )
 
-// verdictQueueSize is how many verdicts may wait for a host that reads slowly.
+// verdictQueueSize is the number of verdicts that may be queued for a host that reads slowly.
 const verdictQueueSize = 1024
 
-// homeServer holds the decisions for those services that ask here, whether as their home or because no home answers.
+// homeServer places requests on behalf of other hosts and of this one. It does so for each service that it is asked
+// for: as the primary home, or as a fallback home while others cannot be reached.
 type homeServer struct {
 	gateway  *Gateway
 	mu       sync.Mutex
 	services map[string]*serviceHome
-	// sessions are the conversations with the hosts that ask.
+	// sessions holds the placement streams of the hosts that send requests here, by their id.
 	sessions    map[uint64]*session
 	lastSession uint64
-	// requestArrived ends the pause of the timers while nothing was under way.
+	// requestArrived wakes the placement timers from their idle interval.
 	requestArrived *ring.Ring[struct{}]
 }
 
-// serviceHome is the decision for one service.
+// serviceHome is the placement state of one service; mu guards home and healthPath.
 type serviceHome struct {
 	server     *homeServer
 	service    string
@@ -57,21 +61,22 @@
 	healthPath string
 }
 
-// session is the conversation with one host that asks for places; verdicts go out in order.
+// session is the placement stream of one host that sends requests here. Verdicts are delivered in order.
 type session struct {
 	id       uint64
 	verdicts *ring.Ring[*inner.PlaceVerdict]
-	// deliverLocal gets the verdicts of the own host instead.
+	// deliverLocal receives the verdicts for requests of this host; it is nil for other hosts.
 	deliverLocal func(number uint64, v placement.Verdict)
-	// disconnect ends the conversation with another host, which begins a new one.
+	// disconnect closes the stream of another host, which then opens a new one.
 	disconnect context.CancelFunc
 }
 
-func newHomes(g *Gateway) *homeServer {
+func newHomeServer(g *Gateway) *homeServer {
 	return &homeServer{gateway: g, services: map[string]*serviceHome{}, sessions: map[uint64]*session{}, requestArrived: ring.New[struct{}](ring.Config{Capacity: 1})}
 }
 
-// openSession begins a conversation: with another host one that end ends, or with the own host, which gets verdicts by local.
+// openSession registers a placement stream. Another host has its verdicts queued and is cut off with disconnect; for
+// this host deliverLocal is called with each verdict.
 func (s *homeServer) openSession(local func(uint64, placement.Verdict), end context.CancelFunc) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +89,7 @@
 	return sess
 }
 
-// closeSession ends a conversation and forgets all that its host held.
+// closeSession removes a placement stream, drops the queued requests of its host and frees the slots of its runs.
 func (s *homeServer) closeSession(sess *session) {
 	s.mu.Lock()
 	delete(s.sessions, sess.id)
@@ -106,7 +111,7 @@
 	return list
 }
 
-// get returns the decision for a service, beginning it with the targets known here.
+// get returns the placement state of a service, creating it with the targets in the roster.
 func (s *homeServer) get(service string) *serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +128,7 @@
 	return h
 }
 
-// recordEjection writes a record of a target that failures took out, or that is back.
+// recordEjection writes a change record for a target that was ejected after failures or has returned.
 func (s *homeServer) recordEjection(service string, e placement.Ejection) {
 	g := s.gateway
 	r := record.Record{Kind: record.TargetMoved, Service: service, Target: e.Target, From: route.Live.String(), To: route.Ejected.String(), Cause: string(route.CauseFailures), Note: g.chain.Number()}
@@ -134,22 +139,23 @@
 	g.records.Add(r)
 }
 
-// retryBudget returns the part of the retry budget that this host may decide on.
+// retryBudget returns the part of the service's retry budget that this host may grant.
 func (s *homeServer) retryBudget() placement.Budget {
 	r := s.gateway.reloadable.Load().Retries
 	return placement.Budget{Ratio: retryRatioShare * r.Ratio, Window: r.Window}
 }
 
-// retrySlack returns how many repeats beyond the ratio this host may decide on: many as the service's primary home, few otherwise.
+// retrySlack returns how many extra attempts beyond the ratio this host may grant. A fallback home gets an equal part
+// of fallbackSlackShare, since every host may act as one at the same time.
 func (s *homeServer) retrySlack(primary bool, hosts int) float64 {
 	total := float64(s.gateway.reloadable.Load().Retries.Slack)
 	if primary {
 		return primarySlackShare * total
 	}
-	return standInSlackShare * total / float64(max(1, hosts))
+	return fallbackSlackShare * total / float64(max(1, hosts))
 }
 
-// applyView hands new targets to every decision.
+// applyView passes changed targets to the placement state of every service.
 func (s *homeServer) applyView(v *roster.View) {
 	for _, h := range s.all() {
 		h.mu.Lock()
@@ -158,19 +164,20 @@
 	}
 }
 
+// applyView sets the service's targets and health path; the caller holds h.mu.
 func (h *serviceHome) applyView(v *roster.View) {
 	list := v.Targets[h.service]
 	targets := make([]placement.Target, 0, len(list))
 	for _, t := range list {
 		targets = append(targets, t.Target)
 	}
-	if service, named := v.Configuration.Service(h.service); named {
+	if service, found := v.Configuration.Service(h.service); found {
 		h.healthPath = service.ReportPath
 	}
 	h.home.SetTargets(h.server.gateway.now(), targets)
 }
 
-// place offers a request of a session's host.
+// place asks the service's placement state for a target. Verdicts follow through sendVerdict.
 func (s *homeServer) place(service string, r *placement.Request) {
 	h := s.get(service)
 	ranked := s.gateway.homeClient.rankedHomes(service)
@@ -181,18 +188,18 @@
 	h.home.SetRetrySlack(s.retrySlack(primary, len(ranked)))
 	h.home.Ask(s.gateway.now(), r)
 	h.sendProbes()
-	// The timers must run while requests wait.
+	// Queued requests are placed and expired by the timers.
 	s.requestArrived.Push(struct{}{})
 }
 
-// sendProbes begins the probes that are due; the caller holds the lock.
+// sendProbes starts the health probes that are due; the caller holds h.mu.
 func (h *serviceHome) sendProbes() {
 	for _, p := range h.home.Probes(h.server.gateway.now()) {
 		go h.probe(h.server.gateway.background, p)
 	}
 }
 
-// runEnded takes in the end of a run.
+// runEnded frees the slot of a run of a service and records its outcome.
 func (s *homeServer) runEnded(service string, d placement.Done) {
 	h := s.get(service)
 	h.mu.Lock()
@@ -200,7 +207,7 @@
 	h.home.Done(s.gateway.now(), d)
 }
 
-// runEndedAnyService ends a run of whichever service has it.
+// runEndedAnyService does the same when the run's service is unknown: every service is tried.
 func (s *homeServer) runEndedAnyService(d placement.Done) {
 	for _, h := range s.all() {
 		h.mu.Lock()
@@ -209,7 +216,7 @@
 	}
 }
 
-// withdraw takes a request out of the queue.
+// withdraw removes a request from the service's queue.
 func (s *homeServer) withdraw(service string, id placement.ID) {
 	h := s.get(service)
 	h.mu.Lock()
@@ -217,7 +224,7 @@
 	h.home.Withdraw(id)
 }
 
-// sendVerdict hands a verdict to the host that asked; it runs under the lock of the decision.
+// sendVerdict sends a verdict to the host that asked; its caller holds the lock of the service's placement state.
 func (s *homeServer) sendVerdict(r *placement.Request, v placement.Verdict) {
 	s.mu.Lock()
 	sess := s.sessions[r.ID.Host]
@@ -230,20 +237,21 @@
 		return
 	}
 	if !sess.verdicts.Push(inner.ToVerdict(r.ID.Number, v)) {
-		// A host that does not read would hold its places until their time limit.
+		// A host that does not read its verdicts would keep the slots that they reserve until its requests time out.
 		s.gateway.stats.slowReaders.Add(1)
 		sess.disconnect()
 	}
 }
 
-// runPlacementTimers runs the timers of the decisions and sends their probes.
+// runPlacementTimers is the background task that runs the placement timers of all services, starts health probes that
+// are due and sends keep-alive messages.
 func (g *Gateway) runPlacementTimers(ctx context.Context) {
 	wait := idleTickInterval
-	var alive time.Duration
+	var lastKeepAlive time.Duration
 	for ctx.Err() == nil {
 		if wait == idleTickInterval {
-			woken, cancel := context.WithTimeout(ctx, wait)
-			g.homeServer.requestArrived.Pop(woken)
+			arrived, cancel := context.WithTimeout(ctx, wait)
+			g.homeServer.requestArrived.Pop(arrived)
 			cancel()
 		} else {
 			duty.Sleep(ctx, wait)
@@ -257,14 +265,15 @@
 			h.sendProbes()
 			h.mu.Unlock()
 		}
-		if now := g.now(); now-alive >= keepAliveInterval {
-			alive = now
+		if now := g.now(); now-lastKeepAlive >= keepAliveInterval {
+			lastKeepAlive = now
 			g.homeServer.sendKeepAlives()
 		}
 	}
 }
 
-// sendKeepAlives tells the hosts whose requests wait here that this one still listens.
+// sendKeepAlives sends an empty verdict to each host whose requests are queued here, so that it can tell a long queue
+// from an unreachable home.
 func (s *homeServer) sendKeepAlives() {
 	waiting := map[uint64]bool{}
 	for _, h := range s.all() {
@@ -281,7 +290,7 @@
 	}
 }
 
-// queuedByService returns how many requests wait at the decisions here, by service.
+// queuedByService returns the number of requests queued on this host, by service.
 func (s *homeServer) queuedByService() map[string]int {
 	counts := map[string]int{}
 	for _, h := range s.all() {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -182,11 +182,11 @@
 		g.updateReady()
 	}
 	g.recordMembershipChanges()
-	g.heartbeats.Round(ctx, g.addStoredNeighbours(recipients))
+	g.heartbeats.Round(ctx, g.addStoredPeers(recipients))
 }
 
-// addStoredNeighbours adds the hosts that the store names while no peer is known.
-func (g *Gateway) addStoredNeighbours(recipients []string) []string {
+// addStoredPeers adds the hosts that the store names while no peer is known.
+func (g *Gateway) addStoredPeers(recipients []string) []string {
 	if len(g.members.Peers()) > 0 {
 		return recipients
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -176,7 +176,7 @@
 
 // register leaves the own address in the store, for hosts that know no peer.
 func (g *Gateway) register(ctx context.Context) error {
-	key := g.dialect.NeighbourKey(g.settings.Host.Name)
+	key := g.dialect.PeerKey(g.settings.Host.Name)
 	if g.roster.View().Neighbours[key] == g.settings.Host.PeerAddress() {
 		return nil
 	}
