--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,20 +16,20 @@
 	"github.com/joomcode/errorx"
 )
 
-// outcomeNames are the outcomes of runs as logs show them.
+// outcomeNames are the names of outcomes in the request log.
 var outcomeNames = map[placement.Outcome]string{
 	placement.Answered: "Answered", placement.Failed: "TargetFailed", placement.NotRun: "TargetRefused",
 	placement.Unreachable: "TargetUnreachable", placement.Broken: "ConnectionBroke", placement.Silent: "TimedOut",
 	placement.Abandoned: "Abandoned", placement.Misplaced: "OtherTargetAtAddress",
 }
 
-// result is how a run on a target ended.
+// result is how a run on a target ended; response is nil unless the target sent one.
 type result struct {
 	outcome  placement.Outcome
 	response *callerResponse
 	load     *placement.Load
 	took     time.Duration
-	// index numbers the runs of one try.
+	// index is the position of the run among its hedgedRuns.
 	index int
 }
 
@@ -42,7 +42,7 @@
 	return false
 }
 
-// runOn sends the request to one target and tells the home how that ended.
+// runOn sends the request to one target and reports the end of the run to the home that placed it.
 func (x *exchange) runOn(ctx context.Context, from placer, p placement.Placed) *result {
 	started := x.gateway.now()
 	r := x.roundTrip(ctx, p)
@@ -58,6 +58,7 @@
 	return r
 }
 
+// roundTrip sends the request to one target and reads the response.
 func (x *exchange) roundTrip(ctx context.Context, p placement.Placed) *result {
 	g := x.gateway
 	started := g.now()
@@ -79,7 +80,7 @@
 	return x.readResponse(ctx, r, response)
 }
 
-// outcomeOfError tells how a run without an answer ended.
+// outcomeOfError returns the outcome of a run that ended with an error of the connection pool.
 func (x *exchange) outcomeOfError(ctx context.Context, err error) placement.Outcome {
 	ended := ctx.Err()
 	switch {
@@ -97,7 +98,8 @@
 	return placement.Broken
 }
 
-// targetRequest builds the request that the target gets.
+// targetRequest returns the request to send to a target: the caller's without hop-by-hop fields, with the remaining
+// time and the target's name added.
 func (x *exchange) targetRequest(ctx context.Context, p placement.Placed) *http.Request {
 	q := x.request
 	r := (&http.Request{
@@ -107,7 +109,7 @@
 	backend.DropHops(r.Header)
 	r.Header.Del("Expect")
 	if r.Header.Get("User-Agent") == "" {
-		// An empty field keeps the library from adding its own.
+		// An empty field keeps net/http from adding its own user agent.
 		r.Header.Set("User-Agent", "")
 	}
 	left := max(1, (x.deadline - x.gateway.now()).Milliseconds())
@@ -119,7 +121,8 @@
 	return r
 }
 
-// impliesNotRun reports whether callers take a status as the word that the request has not run.
+// impliesNotRun reports whether callers understand a status as proof that the request was not run, so that they may
+// send even an unsafe one again.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -128,7 +131,9 @@
 	return false
 }
 
-// readResponse reads an answer whole, or its beginning when it is too large to hold.
+// readResponse reads a response whole, or its beginning when it exceeds maxBufferedResponse. A success, or a status
+// that implies that the request was not run, counts as a broken connection unless the seal header proves that the
+// target itself sent it.
 func (x *exchange) readResponse(ctx context.Context, r *result, response *http.Response) *result {
 	sealed := response.Header.Get(x.gateway.dialect.SealHeader) != ""
 	if !sealed && (response.StatusCode < http.StatusMultipleChoices || impliesNotRun(response.StatusCode)) {
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -98,9 +98,9 @@
 
 // awaitHandlers lets requests under way finish; a caller that leaves meanwhile ends those that may be given up.
 func (c *callerConn) awaitHandlers(handlers *sync.WaitGroup) {
-	left := make(chan struct{})
+	callerLeft := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(callerLeft)
 		if _, err := io.Copy(io.Discard, c.conn.Conn); err == nil {
 			c.cancel()
 		}
@@ -108,16 +108,16 @@
 	handlers.Wait()
 	c.cancel()
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
-	<-left
+	<-callerLeft
 	c.lingeringClose()
 }
 
 // lingeringClose closes the connection once the caller had time to read its last answer: closing at once would reset it
 // when the caller has sent more.
 func (c *callerConn) lingeringClose() {
-	if half, can := c.conn.Conn.(interface{ CloseWrite() error }); can {
+	if closer, ok := c.conn.Conn.(interface{ CloseWrite() error }); ok {
 		// The connection is closed for good below.
-		_ = half.CloseWrite()
+		_ = closer.CloseWrite()
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 	_, _ = io.Copy(io.Discard, c.conn.Conn)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -10,44 +10,47 @@
 	"briarcroft/internal/placement"
 )
 
-// Times of an exchange.
+// Time limits of an exchange.
 const (
-	// firstVerdictTimeout is how long a home may take to its first word on a request.
+	// firstVerdictTimeout is how long a home may take to place, queue or refuse a request before the next home is asked.
 	firstVerdictTimeout = 60 * time.Millisecond
-	// noConfigurationRetryAfter is when callers should come back to a host that knows no configuration yet.
+	// noConfigurationRetryAfter is the Retry-After time of a host that has no configuration yet.
 	noConfigurationRetryAfter = 500 * time.Millisecond
-	// defaultTimeout is the time limit of a request that names none under a rule without one.
+	// defaultTimeout limits requests whose rule and deadline header set no limit.
 	defaultTimeout = 30 * time.Second
-	// minAttemptTime is the least time that must be left for a target to be worth asking.
+	// minAttemptTime is the least remaining time for which a request is sent to another target.
 	minAttemptTime = 5 * time.Millisecond
 )
 
-// exchange carries one request to targets and back.
+// exchange handles one request of a caller: it has the request placed, sends it to targets, retries it where that is
+// allowed and returns the response. Times are on the clock of Gateway.now.
 type exchange struct {
-	gateway  *Gateway
-	caller   *callerConn
-	request  *request
-	rule     note.Rule
-	service  string
+	gateway *Gateway
+	caller  *callerConn
+	request *request
+	rule    note.Rule
+	service string
+	// goal is the latency goal of the rule, and deadline is when the caller stops waiting.
 	goal     time.Duration
 	deadline time.Duration
 	pending  *pendingRequest
-	// placer is where the last place came from.
+	// placer is the home that was asked last.
 	placer placer
-	tried  []string
-	// mayHaveRun is set once a target may have begun the request.
+	// tried names the targets that the request was sent to.
+	tried []string
+	// mayHaveRun is set once a target may have begun to run the request.
 	mayHaveRun bool
-	// targetFailure is a target's own failure, to answer with when nothing better comes.
+	// targetFailure is the last 5xx response of a target; the caller gets it when no other attempt succeeds.
 	targetFailure *callerResponse
 	noteNumber    int
 	ruleFound     bool
-	// homesAsked, hedges and queued say how the request was placed.
+	// homesAsked counts the calls to homes and hedges the second runs; queued is set if a home queued the request.
 	homesAsked, hedges int
 	queued             bool
 	lastOutcome        string
 	// verdict is the last verdict that placed or refused the request.
 	verdict placement.Verdict
-	// cancel ends what is left of the runs; an answer that is still being read needs its run until it was sent.
+	// cancel ends the context of the runs. A response that is still being read from a target needs it until it is sent.
 	cancel context.CancelFunc
 }
 
@@ -55,7 +58,7 @@
 	return &exchange{gateway: c.gateway, caller: c, request: q, cancel: func() {}}
 }
 
-// run returns the answer to the request.
+// run handles the request and returns the response for the caller.
 func (x *exchange) run() *callerResponse {
 	g := x.gateway
 	g.stats.requests.Add(1)
@@ -77,6 +80,7 @@
 	return x.placeAndRun(ctx)
 }
 
+// applyRule chooses the service and computes the latency goal and the deadline.
 func (x *exchange) applyRule(rule note.Rule) {
 	x.rule = rule
 	x.service = x.gateway.split.choose(rule)
@@ -94,9 +98,10 @@
 	}
 }
 
+// repeatable reports whether the request is idempotent, so that it may run more than once.
 func (x *exchange) repeatable() bool { return x.rule.IsIdempotent(x.request.method) }
 
-// placeAndRun places and sends the request until there is something to answer with.
+// placeAndRun has the request placed and sends it to targets until there is a response for the caller.
 func (x *exchange) placeAndRun(ctx context.Context) *callerResponse {
 	for {
 		placed, refusal := x.place(ctx)
@@ -114,7 +119,7 @@
 	}
 }
 
-// handleResult returns the answer after a run, or nil to try another target.
+// handleResult returns the response for the caller after a run, or nil to try another target.
 func (x *exchange) handleResult(ctx context.Context, r *result) *callerResponse {
 	switch r.outcome {
 	case placement.Answered:
@@ -134,10 +139,10 @@
 	return x.failedResponse(ctx)
 }
 
-// refusedRetryAfter is when callers should come back after every target tried has refused.
+// refusedRetryAfter is the Retry-After time when no home names one, such as after every target tried has refused.
 const refusedRetryAfter = 200 * time.Millisecond
 
-// mayRetry reports whether another target may get the request.
+// mayRetry reports whether the remaining time and the rule's limit of attempts allow another target.
 func (x *exchange) mayRetry(ctx context.Context) bool {
 	if ctx.Err() != nil || x.deadline-x.gateway.now() < minAttemptTime {
 		return false
@@ -145,7 +150,8 @@
 	return x.rule.Attempts == 0 || len(x.tried) < x.rule.Attempts
 }
 
-// refuse returns the answer when no target gets the request any more.
+// refuse returns the response when the request will not be sent to a target again. It claims that the request was not
+// run only if that is certain.
 func (x *exchange) refuse(r placement.Refused) *callerResponse {
 	x.lastOutcome = string(r.Reason)
 	if x.targetFailure != nil {
@@ -157,7 +163,7 @@
 	return refusalResponse(r)
 }
 
-// failedResponse returns the answer when a target may have run the request and no answer came.
+// failedResponse returns the response when a target may have run the request but gave no usable response.
 func (x *exchange) failedResponse(ctx context.Context) *callerResponse {
 	switch {
 	case x.targetFailure != nil:
@@ -170,7 +176,7 @@
 	return localResponse(http.StatusBadGateway, "AnswerLost", 0)
 }
 
-// notPlacedInTime returns the answer when the time ended before a place was found.
+// notPlacedInTime returns the response when the deadline passed before a target was found.
 func (x *exchange) notPlacedInTime(ctx context.Context) *callerResponse {
 	if x.mayHaveRun || x.targetFailure != nil {
 		return x.failedResponse(ctx)
@@ -178,7 +184,8 @@
 	return refusalResponse(placement.Refused{Reason: placement.ReasonTooLate, RetryAfter: refusedRetryAfter})
 }
 
-// place asks the service's homes for a place; both results are nil when the time ended first.
+// place asks the service's homes, one after the other, which target to use. Both results are nil when the context
+// ended first.
 func (x *exchange) place(ctx context.Context) (*placement.Placed, *placement.Refused) {
 	for _, p := range x.gateway.homeClient.placers(x.service) {
 		x.placer = p
@@ -208,7 +215,8 @@
 	}
 }
 
-// awaitVerdict waits for a home's decision; it returns nil when the home gives none, and ended when the time is over.
+// awaitVerdict waits until a home has placed or refused the request. The verdict is nil when the home does not answer
+// or when the context ended, which timedOut tells apart.
 func (x *exchange) awaitVerdict(ctx context.Context, p placer) (v placement.Verdict, timedOut bool) {
 	timer := time.NewTimer(firstVerdictTimeout)
 	defer timer.Stop()
@@ -242,14 +250,15 @@
 	}
 }
 
-// releaseSlot gives back a place that comes too late.
+// releaseSlot frees the slot that an unused verdict reserves, if it reserves one.
 func (x *exchange) releaseSlot(e placementEvent) {
 	if target, reserved := reservedTarget(e.verdict); reserved {
 		e.placer.endRun(x.pending, placement.Done{Target: target, Outcome: placement.Abandoned})
 	}
 }
 
-// runWithHedge runs the request on a target, and on a second one when the home asks for that.
+// runWithHedge runs the request on a target, and on a second one when the home sends a hedge. The first response ends
+// the other run.
 func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *result {
 	runs := hedgedRuns{exchange: x, results: make(chan *result, 2)}
 	runs.start(ctx, x.placer, placed)
@@ -275,50 +284,51 @@
 	}
 }
 
-// hedgedRuns are the runs of one try that go on beside each other.
+// hedgedRuns are the concurrent runs of one placement: the first one and its hedge.
 type hedgedRuns struct {
 	exchange *exchange
 	results  chan *result
 	cancels  []context.CancelFunc
-	// active is how many have not ended.
+	// active counts the runs that have not ended.
 	active int
 }
 
-func (u *hedgedRuns) start(ctx context.Context, from placer, placed placement.Placed) {
+func (h *hedgedRuns) start(ctx context.Context, from placer, placed placement.Placed) {
 	ctx, cancel := context.WithCancel(ctx)
-	index := len(u.cancels)
-	u.cancels = append(u.cancels, cancel)
-	u.active++
-	u.exchange.tried = append(u.exchange.tried, placed.Target)
+	index := len(h.cancels)
+	h.cancels = append(h.cancels, cancel)
+	h.active++
+	h.exchange.tried = append(h.exchange.tried, placed.Target)
 	go func() {
-		r := u.exchange.runOn(ctx, from, placed)
+		r := h.exchange.runOn(ctx, from, placed)
 		r.index = index
-		u.results <- r
+		h.results <- r
 	}()
 }
 
-// cancelOthers ends all runs but the one whose answer goes on.
-func (u *hedgedRuns) cancelOthers(kept *result) {
-	for index, cancel := range u.cancels {
+// cancelOthers cancels all runs but the one whose response is used.
+func (h *hedgedRuns) cancelOthers(kept *result) {
+	for index, cancel := range h.cancels {
 		if index != kept.index {
 			cancel()
 		}
 	}
-	if u.active > 0 {
-		go u.discardResults()
+	if h.active > 0 {
+		go h.discardResults()
 	}
 }
 
-// discardResults closes the answers of runs that came second.
-func (u *hedgedRuns) discardResults() {
-	for range u.active {
-		if r := <-u.results; r.response != nil && r.response.unread != nil {
+// discardResults waits for the cancelled runs and closes their responses.
+func (h *hedgedRuns) discardResults() {
+	for range h.active {
+		if r := <-h.results; r.response != nil && r.response.unread != nil {
 			_ = r.response.unread.Close()
 		}
 	}
 }
 
-// moreConclusive returns the result to go by when two runs have ended: the one that says most.
+// moreConclusive returns the result that decides what the caller gets: a response first, then a run that may have
+// reached the target, then one that certainly did not. The result b may be nil.
 func moreConclusive(a, b *result) *result {
 	if b == nil || a.outcome == placement.Answered || a.outcome == placement.Failed {
 		return a
@@ -329,7 +339,7 @@
 	return a
 }
 
-// finish notes how the exchange ended.
+// finish releases the runs and logs how the exchange ended; sent reports whether the whole response was written.
 func (x *exchange) finish(response *callerResponse, sent bool) {
 	x.cancel()
 	x.gateway.finish(x, response, sent)
--- a/internal/gateway/home_server.go
+++ b/internal/gateway/home_server.go
@@ -52,7 +52,7 @@
 	requestArrived *ring.Ring[struct{}]
 }
 
-// serviceHome is the placement state of one service; mu guards home and healthPath.
+// serviceHome is the placement state of one service; mu guards home.
 type serviceHome struct {
 	server     *homeServer
 	service    string
@@ -77,12 +77,12 @@
 
 // openSession registers a placement stream. Another host has its verdicts queued and is cut off with disconnect; for
 // this host deliverLocal is called with each verdict.
-func (s *homeServer) openSession(local func(uint64, placement.Verdict), end context.CancelFunc) *session {
+func (s *homeServer) openSession(deliverLocal func(uint64, placement.Verdict), disconnect context.CancelFunc) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastSession++
-	sess := &session{id: s.lastSession, deliverLocal: local, disconnect: end}
-	if local == nil {
+	sess := &session{id: s.lastSession, deliverLocal: deliverLocal, disconnect: disconnect}
+	if deliverLocal == nil {
 		sess.verdicts = ring.New[*inner.PlaceVerdict](ring.Config{Capacity: verdictQueueSize})
 	}
 	s.sessions[sess.id] = sess
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -124,8 +124,8 @@
 func (f *followers) contains(number uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, held := f.queues[number]
-	return held
+	_, found := f.queues[number]
+	return found
 }
 
 // FollowStore implements inner.DRPCPeerServer: it tells everything known of the store, then what changes.
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -9,19 +9,21 @@
 	"briarcroft/internal/roster"
 )
 
-// Times and sizes of the connections to targets.
+// Limits of the connections to targets.
 const (
-	// targetDialTimeout is how long a target may take to accept a connection; the opening packet is sent again after a second.
+	// targetDialTimeout is how long a target may take to accept a connection. It is well below the second after which
+	// TCP sends a lost SYN again, so another target is tried before that.
 	targetDialTimeout = 300 * time.Millisecond
-	// targetUnackedTimeout is how long a target may leave bytes unacknowledged.
+	// targetUnackedTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
 	targetUnackedTimeout = 2 * time.Second
-	// targetProofTime is how long after its last answer a connection may carry a request that must not run twice.
+	// targetProofTime is how long after its last response a connection may be reused for a request that is not
+	// repeatable: such a request must not be lost on a dead connection.
 	targetProofTime = 5 * time.Second
-	// maxTargetConnections is the most connections of one host to one target.
+	// maxTargetConnections bounds the connections of this host to one target.
 	maxTargetConnections = 32
 )
 
-// poolKey names one start of a target at one address.
+// poolKey identifies a target at an address; a target that restarts elsewhere gets a new pool.
 type poolKey struct {
 	name, address string
 }
@@ -31,7 +33,7 @@
 	close func()
 }
 
-// pools holds the connections to targets.
+// pools holds the connection pools of all targets.
 type pools struct {
 	gateway *Gateway
 	mu      sync.Mutex
@@ -40,41 +42,42 @@
 
 func newPools(g *Gateway) *pools { return &pools{gateway: g, byKey: map[poolKey]pool{}} }
 
-// get returns the pool of a target, opening it when it is new.
+// get returns the pool of a target, creating it if necessary.
 func (p *pools) get(name, address string) *backend.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := poolKey{name, address}
-	held, known := p.byKey[key]
-	if !known {
-		held.Pool, held.close = backend.New(backend.Config{
+	entry, found := p.byKey[key]
+	if !found {
+		entry.Pool, entry.close = backend.New(backend.Config{
 			Address: address, MaxConnections: maxTargetConnections, DialTimeout: targetDialTimeout, ProofTime: targetProofTime,
 			Silence: targetUnackedTimeout, Answers: p.gateway.responseMatches, Dial: p.gateway.config.Dial,
 		})
-		p.byKey[key] = held
+		p.byKey[key] = entry
 	}
-	return held.Pool
+	return entry.Pool
 }
 
-// responseMatches reports whether a response belongs to a request; one that names no request may.
+// responseMatches reports whether a response belongs to a request, by the attempt ID that both carry. A response
+// without an ID is accepted.
 func (g *Gateway) responseMatches(r *http.Request, response *http.Response) bool {
 	id := response.Header.Get(g.dialect.AttemptIDHeader)
 	return id == "" || id == r.Header.Get(g.dialect.AttemptIDHeader)
 }
 
-// applyView closes the pools of targets that are gone.
+// applyView closes the pools of targets that are no longer registered at their address.
 func (p *pools) applyView(v *roster.View) {
-	named := map[poolKey]bool{}
+	registered := map[poolKey]bool{}
 	for _, list := range v.Targets {
 		for _, t := range list {
-			named[poolKey{t.Name, t.Address}] = true
+			registered[poolKey{t.Name, t.Address}] = true
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, held := range p.byKey {
-		if !named[key] {
-			held.close()
+	for key, entry := range p.byKey {
+		if !registered[key] {
+			entry.close()
 			delete(p.byKey, key)
 		}
 	}
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -10,13 +10,13 @@
 	"briarcroft/internal/placement"
 )
 
-// probeTimeout is how long a probe may take until its connection is given up.
+// probeTimeout is how long a health probe may take before its connection is closed.
 const probeTimeout = 400 * time.Millisecond
 
-// maxHealthBytes bounds the bytes that are read of a health answer.
+// maxHealthBytes bounds the bytes that are read of a health response, so that its connection can be reused.
 const maxHealthBytes = 4 << 10
 
-// probe asks one target for its health and load.
+// probe requests a target's health path and passes the result and the reported load to the placement state.
 func (h *serviceHome) probe(ctx context.Context, p placement.Placed) {
 	g := h.server.gateway
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -29,6 +29,7 @@
 	h.sendProbes()
 }
 
+// checkHealth sends one health request. A target that refuses it without running it is healthy but busy.
 func (g *Gateway) checkHealth(ctx context.Context, p placement.Placed, path string) (placement.Health, *placement.Load) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// parseLoad reads a target's own word on its load, or nil.
+// parseLoad returns the load that a target reports in its response header, or nil.
 func (g *Gateway) parseLoad(header http.Header) *placement.Load {
 	text := header.Get(g.dialect.LoadHeader)
 	if text == "" {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -17,14 +17,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// defaultLimits hold until a configuration names others.
+// defaultLimits apply until a configuration sets others.
 var defaultLimits = note.Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// requestLineBytes is what the request line and the reader's look-ahead may take beyond the header limit, in bytes.
+// requestLineBytes is what the request line and the reader's buffer may take in addition to the header limit, in bytes.
 const requestLineBytes = 4 << 10
 
-// request is what a caller sent.
+// request is a request of a caller with its whole body.
 type request struct {
+	// attemptID is the caller's identifier of this attempt; it may be empty.
 	attemptID     string
 	method        string
 	uri           string
@@ -33,19 +34,20 @@
 	header        http.Header
 	body          []byte
 	callerAddress string
-	arrived       time.Duration
-	// timeout is how long the caller will wait; zero means that it does not say.
+	// arrived is the time of Gateway.now at which the first byte arrived.
+	arrived time.Duration
+	// timeout is how long the caller waits for the response; zero means that it sent no deadline header.
 	timeout time.Duration
-	// closeAfter is set when the caller sends nothing more on its connection.
+	// closeAfter is set when the caller sends no further request on its connection.
 	closeAfter bool
-	// release gives back the memory of the body.
+	// release returns the memory of the body to the budget.
 	release func()
 }
 
-// errHeaderTooLong reports a request head beyond the limit.
+// errHeaderTooLong reports that a request head exceeds the limit.
 var errHeaderTooLong = errors.New("request head is too long")
 
-// limitedConn stops reading once a request head has taken more than it may.
+// limitedConn fails to read with errHeaderTooLong once remaining bytes were read, which bounds request heads.
 type limitedConn struct {
 	net.Conn
 	remaining int
@@ -61,15 +63,15 @@
 	return n, err
 }
 
-// rejection is a request that is answered without being understood; its connection ends.
+// rejection is the error response to a request that cannot be read; its connection is closed.
 type rejection struct {
 	status int
 	reason string
-	// retryAfter is when to come back; zero where coming back makes no sense.
+	// retryAfter is when the caller may try again; zero if trying again cannot help.
 	retryAfter time.Duration
 }
 
-// readRequest reads one request whole. It returns neither when the caller has gone.
+// readRequest reads one request with its body. Both results are nil when the connection has ended or been idle too long.
 func (c *callerConn) readRequest() (*request, *rejection) {
 	limits := c.gateway.limits()
 	if !c.awaitFirstByte(limits) {
@@ -81,7 +83,7 @@
 	if err != nil {
 		return nil, rejectionFor(err)
 	}
-	// Bodies have a limit of their own.
+	// The body has its own limit, in readBody.
 	c.conn.remaining = int(^uint(0) >> 1)
 	_ = c.conn.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
 	q := &request{
@@ -105,6 +107,7 @@
 	return err == nil
 }
 
+// rejectionFor returns the rejection for a read error, or nil when the connection has ended.
 func rejectionFor(err error) *rejection {
 	var netErr net.Error
 	switch {
@@ -118,7 +121,7 @@
 	return &rejection{status: http.StatusBadRequest, reason: "NotARequest"}
 }
 
-// readBody reads the body of a request whole.
+// readBody reads the whole body of a request within the limits and the memory budget.
 func (c *callerConn) readBody(q *request, r *http.Request, limits note.Limits) (*request, *rejection) {
 	if r.ContentLength > int64(limits.BodyBytes) {
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
@@ -145,18 +148,18 @@
 		q.release()
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
 	}
-	if more := int64(len(body)) - reserved; more > 0 {
-		if !c.gateway.bodies.acquire(more) {
+	if extra := int64(len(body)) - reserved; extra > 0 {
+		if !c.gateway.bodies.acquire(extra) {
 			q.release()
 			return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedRetryAfter}
 		}
-		reserved += more
+		reserved += extra
 	}
 	q.body = body
 	return q, nil
 }
 
-// limits returns what callers may send.
+// limits returns the limits of requests that are in force.
 func (g *Gateway) limits() note.Limits {
 	if l := g.rules.Load().limits; l.HeaderBytes > 0 && l.IdleTimeout > 0 {
 		return l
@@ -164,7 +167,8 @@
 	return defaultLimits
 }
 
-// fingerprint is the same for requests with the same caller, path and body.
+// fingerprint returns a hash of the caller's address, host, method, URI and body. It recognises repetitions of a
+// request that makes targets crash.
 func (q *request) fingerprint() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{q.callerAddress, q.host, q.method, q.uri} {
@@ -176,12 +180,13 @@
 	return d.Sum64()
 }
 
-// bodyBudget bounds the memory that request bodies take.
+// bodyBudget bounds the memory that request bodies take, in bytes.
 type bodyBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
+// acquire reserves n bytes and reports whether they were available.
 func (b *bodyBudget) acquire(n int64) bool {
 	if b.used.Add(n) > b.limit {
 		b.used.Add(-n)
@@ -195,7 +200,8 @@
 // newReader returns the buffered reader of a caller's connection.
 func newReader(m *limitedConn) *bufio.Reader { return bufio.NewReaderSize(m, callerReadBytes) }
 
-// requestContext ends when the caller leaves, for requests that may be given up.
+// requestContext returns the context for a request. It ends when the caller disconnects only if the request is
+// repeatable; any other request is run to its end, since it may already have had an effect.
 func (c *callerConn) requestContext(repeatable bool) context.Context {
 	if repeatable {
 		return c.ctx
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -11,22 +11,24 @@
 	"briarcroft/internal/placement"
 )
 
-// maxBufferedResponse is the largest answer that is read whole before its caller sees a byte, so that a cut one can be asked for again.
+// maxBufferedResponse is the size in bytes up to which a response is read whole before any of it is sent to the
+// caller, so that a truncated response can still be replaced by a retry.
 const maxBufferedResponse = 1 << 20
 
-// callerResponse is what a caller gets.
+// callerResponse is the response to a caller.
 type callerResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// unread is what follows body of an answer too large to hold; its length is unknown when length is below zero.
+	// unread is what follows body in a response too large to buffer; otherwise it is nil.
 	unread io.ReadCloser
+	// length is the whole body's size in bytes; it is below zero when unknown.
 	length int64
-	// reason explains an answer of the host's own; it is empty for a target's.
+	// reason explains a response that this host made itself; it is empty for a response of a target.
 	reason string
 }
 
-// localResponse returns an answer of the host's own; retryAfter is zero where coming back makes no sense.
+// localResponse returns a response of this host itself; retryAfter is zero where a retry cannot help.
 func localResponse(status int, reason string, retryAfter time.Duration) *callerResponse {
 	r := &callerResponse{status: status, header: http.Header{}, reason: reason}
 	r.header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -39,12 +41,12 @@
 	return r
 }
 
-// refusalResponse returns the answer for a request that was not run and will not be.
+// refusalResponse returns the response to a request that no target has run or will run.
 func refusalResponse(r placement.Refused) *callerResponse {
 	return localResponse(http.StatusServiceUnavailable, string(r.Reason), r.RetryAfter)
 }
 
-// writeResponse sends an answer and reports whether all of it was sent.
+// writeResponse sends a response and reports whether all of it was sent.
 func (c *callerConn) writeResponse(q *request, r *callerResponse, closing bool) bool {
 	conn := c.conn.Conn
 	_ = conn.SetWriteDeadline(time.Now().Add(stallTimeout))
@@ -75,6 +77,7 @@
 	return w.Flush() == nil
 }
 
+// writeResponseHead writes the status line and the header fields.
 func writeResponseHead(w *bufio.Writer, q *request, r *callerResponse, closing bool) error {
 	if _, err := fmt.Fprintf(w, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status)); err != nil {
 		return err
@@ -97,7 +100,8 @@
 	return err
 }
 
-// writeChunked sends an answer of unknown length; without its last chunk it does not look complete.
+// writeChunked sends a response of unknown length. After a read error the last chunk is left out, so that the caller
+// recognises the response as incomplete.
 func (c *callerConn) writeChunked(w *bufio.Writer, r *callerResponse) error {
 	chunks := chunkWriter{c, w}
 	if _, err := chunks.Write(r.body); err != nil {
@@ -112,7 +116,7 @@
 	return w.Flush()
 }
 
-// chunkWriter writes each piece as one chunk.
+// chunkWriter writes each slice as one chunk of the chunked transfer encoding.
 type chunkWriter struct {
 	c *callerConn
 	w *bufio.Writer
@@ -134,7 +138,7 @@
 	return n, err
 }
 
-// stallWriter gives the caller new time with each piece.
+// stallWriter extends the write deadline by stallTimeout before each write.
 type stallWriter struct {
 	c *callerConn
 	w *bufio.Writer
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -32,8 +32,8 @@
 
 // match returns the rule for a request.
 func (x *ruleIndex) match(host, path string) (note.Rule, bool) {
-	rules, known := x.byHost[host]
-	if !known {
+	rules, found := x.byHost[host]
+	if !found {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			rules = x.byHost[name]
 		}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -12,15 +12,15 @@
 const (
 	// stopMargin is how long before the platform's own limit the process ends.
 	stopMargin = 400 * time.Millisecond
-	// maxAddressAgeFactor is how many times longer than they are told callers may keep addresses.
-	maxAddressAgeFactor = 3
+	// addressAgeFactor is how many times longer than they are told callers may keep addresses.
+	addressAgeFactor = 3
 	// stopCheckInterval is how often to look whether everything has ended.
 	stopCheckInterval = 50 * time.Millisecond
 )
 
 // stopGracefully leaves the membership and goes on serving until callers have heard of it: they keep addresses for up
 // to three times as long as they are told. Then it takes nothing new and lets what is under way end.
-func (g *Gateway) stopGracefully(force context.Context, front func()) {
+func (g *Gateway) stopGracefully(force context.Context, closeListener func()) {
 	started := g.now()
 	g.stopping.Store(true)
 	g.members.SetReady(false)
@@ -28,9 +28,9 @@
 	g.heartbeatNow.Push(struct{}{})
 	g.records.Add(record.Record{Kind: record.HostLeft, Cause: "GracefulStop", Note: g.chain.Number()})
 	limit := g.reloadable.Load().Limits.StopTimeout - stopMargin
-	hearing := min(limit/2, maxAddressAgeFactor*g.reloadable.Load().Limits.AddressMaxAge)
-	duty.Sleep(force, hearing)
-	front()
+	drainTime := min(limit/2, addressAgeFactor*g.reloadable.Load().Limits.AddressMaxAge)
+	duty.Sleep(force, drainTime)
+	closeListener()
 	g.closeIdle()
 	for force.Err() == nil && g.now()-started < limit && g.openConns.Load() > 0 {
 		duty.Sleep(force, stopCheckInterval)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -60,8 +60,8 @@
 // watchers returns the hosts that follow the store, those of the own failure domain first.
 func (g *Gateway) watchers() []host.Member {
 	live := g.members.Live(g.now())
-	reaching := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return m.StoreLost })
-	list := host.Watchers(reaching, watchersPerDomain)
+	connected := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return m.StoreLost })
+	list := host.Watchers(connected, watchersPerDomain)
 	slices.SortStableFunc(list, func(a, b host.Member) int { return g.distance(a) - g.distance(b) })
 	return list
 }
@@ -323,13 +323,13 @@
 func (g *Gateway) followPeer(ctx context.Context, m host.Member) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(followSilenceTimeout, cancel)
-	defer silent.Stop()
+	timer := time.AfterFunc(followSilenceTimeout, cancel)
+	defer timer.Stop()
 	stream, err := g.client.Peer(ctx, m.Inner).FollowStore(ctx, &inner.FollowStoreRequest{})
 	for err == nil {
 		var reply *inner.FollowStoreReply
 		if reply, err = stream.Recv(); err == nil {
-			silent.Reset(followSilenceTimeout)
+			timer.Reset(followSilenceTimeout)
 			g.applyUpdate(reply)
 		}
 	}
