--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -10,29 +10,30 @@
 	"time"
 )
 
-// Sizes and times of callers' connections.
+// Limits of the connections of callers.
 const (
+	// callerReadBytes and callerWriteBytes are the sizes of the buffers of a connection.
 	callerReadBytes  = 4 << 10
 	callerWriteBytes = 8 << 10
-	// maxPipelined is how many requests a caller may send before the first is answered.
+	// maxPipelined is how many pipelined requests of one connection are handled at once.
 	maxPipelined = 16
-	// lingerTime is how long a closing connection is read from, so that its last answer isn't lost to a reset.
+	// lingerTime is how long a closing connection is still read, so that a reset does not destroy its last response.
 	lingerTime = 500 * time.Millisecond
-	// stallTimeout is how long a caller may take no byte of an answer.
+	// stallTimeout is how long a write of a response to a caller may block.
 	stallTimeout = 10 * time.Second
-	// busyReadTimeout is the deadline of a connection with a request under way.
+	// busyReadTimeout bounds the wait for the next request while an earlier one is being handled.
 	busyReadTimeout = 10 * time.Minute
 )
 
 var callerWriters = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, callerWriteBytes) }}
 
-// callerConn is one caller's connection. Requests sent ahead are worked on at once and answered in order.
+// callerConn is the HTTP/1 connection of a caller. Pipelined requests are handled concurrently and answered in order.
 type callerConn struct {
 	gateway *Gateway
 	conn    *limitedConn
 	reader  *bufio.Reader
 	address string
-	// ctx ends when the caller has gone.
+	// ctx ends when the caller has disconnected.
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex
@@ -44,7 +45,7 @@
 	pipelineSlots chan struct{}
 }
 
-// serveCallers takes connections of callers.
+// serveCallers accepts and serves connections of callers until the listener is closed.
 func (g *Gateway) serveCallers(_ context.Context, l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -73,7 +74,7 @@
 	return c
 }
 
-// serve reads requests until the caller goes or the connection is to close.
+// serve reads and handles requests until the caller disconnects or the connection is closing.
 func (c *callerConn) serve() {
 	var handlers sync.WaitGroup
 	for {
@@ -96,7 +97,8 @@
 	c.awaitHandlers(&handlers)
 }
 
-// awaitHandlers lets requests under way finish; a caller that leaves meanwhile ends those that may be given up.
+// awaitHandlers waits for the requests that are being handled and closes the connection. If the caller disconnects
+// meanwhile, its repeatable requests are cancelled.
 func (c *callerConn) awaitHandlers(handlers *sync.WaitGroup) {
 	callerLeft := make(chan struct{})
 	go func() {
@@ -112,11 +114,11 @@
 	c.lingeringClose()
 }
 
-// lingeringClose closes the connection once the caller had time to read its last answer: closing at once would reset it
-// when the caller has sent more.
+// lingeringClose closes the connection after the caller had time to read the last response. Closing at once would
+// reset the connection if the caller has sent more data.
 func (c *callerConn) lingeringClose() {
 	if closer, ok := c.conn.Conn.(interface{ CloseWrite() error }); ok {
-		// The connection is closed for good below.
+		// An error does not matter: the connection is closed completely below.
 		_ = closer.CloseWrite()
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime))
@@ -124,7 +126,8 @@
 	_ = c.conn.Conn.Close()
 }
 
-// accept accepts a request unless the connection is closing; mine is to be closed once it is answered, after previous.
+// accept registers a request that was read, unless the connection is closing. The request may be answered once
+// previous is closed, and done must be closed after that; last is set if no further request is to be accepted.
 func (c *callerConn) accept(last bool) (done chan struct{}, previous <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +141,7 @@
 	return done, previous, true
 }
 
-// handle answers one request in its turn.
+// handle handles one request and writes its response after those of the requests before it.
 func (c *callerConn) handle(q *request, done chan struct{}, previous <-chan struct{}) {
 	defer func() { <-c.pipelineSlots }()
 	defer close(done)
@@ -152,7 +155,8 @@
 	c.responseWritten(closing || !sent)
 }
 
-// isLastResponse reports whether the next answer is the connection's last: the host stops and nothing else is under way.
+// isLastResponse reports whether the next response is the last one of the connection, because the connection is closing
+// or the host is stopping and no other request was accepted.
 func (c *callerConn) isLastResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,13 +166,14 @@
 	return c.closing && c.accepted == c.responded+1
 }
 
+// responseWritten counts a response, and closes the connection to further requests if end is set.
 func (c *callerConn) responseWritten(end bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responded++
 	if end {
 		c.closing = true
-		// The reader wakes up and finds the connection closing.
+		// A deadline in the past ends the pending read of the next request.
 		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 		return
 	}
@@ -177,7 +182,7 @@
 	}
 }
 
-// closeIfIdle ends the connection when nothing is under way on it.
+// closeIfIdle closes the connection if no request is being handled on it.
 func (c *callerConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +192,7 @@
 	}
 }
 
-// setIdleDeadline bounds the wait for the next request, unless one is under way.
+// setIdleDeadline sets the read deadline for the next request: idle, or busyReadTimeout while one is being handled.
 func (c *callerConn) setIdleDeadline(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,10 +206,11 @@
 	}
 }
 
-// reject answers what was no proper request, after those before it.
+// reject answers a request that could not be read, after the requests before it. A nil rejection means that there is
+// nothing to answer.
 func (c *callerConn) reject(bad *rejection) {
 	if bad == nil {
-		// The caller has gone, or was idle for too long.
+		// The caller has disconnected, or was idle for too long.
 		if c.callerLeft() {
 			c.cancel()
 		}
@@ -221,7 +227,7 @@
 	c.gateway.stats.rejected.Add(1)
 }
 
-// callerLeft reports whether the reader ended because the caller left, not because the connection is closing.
+// callerLeft reports whether reading ended because the caller disconnected, not because the connection is closing.
 func (c *callerConn) callerLeft() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,13 +12,14 @@
 	"briarcroft/internal/ring"
 )
 
-// peerServer answers peers.
+// peerServer implements the RPCs that other entry hosts call.
 type peerServer struct {
-	// Notes and claims travel between hosts of the other kind only.
+	// The remaining methods are used only between hosts of package entry.
 	inner.DRPCPeerUnimplementedServer
 	gateway *Gateway
 }
 
+// servePeers serves the RPCs of other hosts until the context ends.
 func (g *Gateway) servePeers(ctx context.Context, l net.Listener) error {
 	done, err := inner.Serve(ctx, inner.ServerConfig{Listener: l, Handler: &peerServer{gateway: g}})
 	if err != nil {
@@ -33,7 +34,7 @@
 	return inner.Answer(p.gateway.members, p.gateway.now(), r), nil
 }
 
-// Place implements inner.DRPCPeerServer: it decides for the host at the other end.
+// Place implements inner.DRPCPeerServer: it places requests of the host at the other end of the stream.
 func (p *peerServer) Place(stream inner.DRPCPeer_PlaceStream) error {
 	homes := p.gateway.homeServer
 	ctx, cancel := context.WithCancel(stream.Context())
@@ -56,6 +57,8 @@
 	return err
 }
 
+// handleCalls handles the messages of a placement stream until it ends. The end of a run names no service when the
+// requesting host has dropped the request already.
 func (p *peerServer) handleCalls(ctx context.Context, stream inner.DRPCPeer_PlaceStream, sess *session) error {
 	homes := p.gateway.homeServer
 	for ctx.Err() == nil {
@@ -78,24 +81,26 @@
 	return ctx.Err()
 }
 
-// followerQueueSize is how many changes may wait for a follower that reads slowly.
+// followerQueueSize is the number of updates that may be queued for a follower that reads slowly.
 const followerQueueSize = 64
 
-// storeUpdate is what followers are told of the store.
+// storeUpdate is what followers are sent about the store: changes of entries, which complete their replica up to the
+// revision, and whether the store has returned from an outage.
 type storeUpdate struct {
 	changes  []platform.Change
 	revision int64
 	returned bool
 }
 
-// followers are the hosts that hear of the store's changes from this one.
+// followers are the hosts that receive changes of the store from this one.
 type followers struct {
 	mu         sync.Mutex
 	lastNumber uint64
 	queues     map[uint64]*ring.Ring[storeUpdate]
 }
 
-// broadcast passes news on; a follower that is too slow loses its stream and begins anew.
+// broadcast queues an update for all followers. A follower whose queue is full is removed, which ends its stream; it
+// then follows again and receives all entries.
 func (f *followers) broadcast(n storeUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,7 +133,8 @@
 	return found
 }
 
-// FollowStore implements inner.DRPCPeerServer: it tells everything known of the store, then what changes.
+// FollowStore implements inner.DRPCPeerServer: it sends all known entries of the store, then changes and, while there
+// are none, keep-alive messages.
 func (p *peerServer) FollowStore(_ *inner.FollowStoreRequest, stream inner.DRPCPeer_FollowStoreStream) error {
 	g := p.gateway
 	number, changes := g.followers.add()
@@ -170,11 +176,12 @@
 	return n
 }
 
-// runHeartbeats sends heartbeats.
+// runHeartbeats is the background task that sends heartbeats.
 func (g *Gateway) runHeartbeats(ctx context.Context) {
 	g.heartbeats.Run(ctx, g.heartbeatNow, g.sendHeartbeats)
 }
 
+// sendHeartbeats sends one round of heartbeats and records what has changed since the last one.
 func (g *Gateway) sendHeartbeats(ctx context.Context) {
 	recipients := g.members.Beat(g.now())
 	if g.members.TakePaused() {
@@ -185,7 +192,7 @@
 	g.heartbeats.Round(ctx, g.addStoredPeers(recipients))
 }
 
-// addStoredPeers adds the hosts that the store names while no peer is known.
+// addStoredPeers adds the addresses of hosts that are registered in the store while no peer is known.
 func (g *Gateway) addStoredPeers(recipients []string) []string {
 	if len(g.members.Peers()) > 0 {
 		return recipients
@@ -198,7 +205,7 @@
 	return recipients
 }
 
-// recordMembershipChanges writes a record for each change of the membership.
+// recordMembershipChanges writes a change record for each change of the membership.
 func (g *Gateway) recordMembershipChanges() {
 	for _, e := range g.members.TakeEvents() {
 		g.records.Add(record.OfMembership(e, g.chain.Number()))
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,18 +8,19 @@
 	"briarcroft/internal/record"
 )
 
-// Times of a graceful stop.
+// Time limits of a graceful stop.
 const (
-	// stopMargin is how long before the platform's own limit the process ends.
+	// stopMargin is how long before the configured StopTimeout the process ends, since the platform kills it then.
 	stopMargin = 400 * time.Millisecond
-	// addressAgeFactor is how many times longer than they are told callers may keep addresses.
+	// addressAgeFactor is how many times AddressMaxAge callers may keep using the addresses of a directory response.
 	addressAgeFactor = 3
-	// stopCheckInterval is how often to look whether everything has ended.
+	// stopCheckInterval is how often to check whether all connections of callers have ended.
 	stopCheckInterval = 50 * time.Millisecond
 )
 
-// stopGracefully leaves the membership and goes on serving until callers have heard of it: they keep addresses for up
-// to three times as long as they are told. Then it takes nothing new and lets what is under way end.
+// stopGracefully marks this host as leaving and goes on serving callers that still use its address from an earlier
+// directory response, for up to addressAgeFactor times AddressMaxAge. Then it accepts no connections and waits for
+// the open ones to end, until StopTimeout or the end of force.
 func (g *Gateway) stopGracefully(force context.Context, closeListener func()) {
 	started := g.now()
 	g.stopping.Store(true)
@@ -37,7 +38,8 @@
 	}
 }
 
-// closeIdle ends the connections of callers that have nothing under way, and all others after their next answer.
+// closeIdle closes the idle connections of callers. The others close by themselves after a response, as the host is
+// stopping.
 func (g *Gateway) closeIdle() {
 	g.callerConns.Range(func(key, _ any) bool {
 		key.(*callerConn).closeIfIdle()
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -15,49 +15,54 @@
 	"github.com/joomcode/errorx"
 )
 
-// Times and counts of following the store.
+// Times and counts of replicating the store. A few hosts, the watchers, follow the store itself; the others follow the
+// watchers, so that the number of calls to the store does not grow with the number of hosts.
 const (
-	// watchersPerDomain is how many hosts of a failure domain follow the store itself.
+	// watchersPerDomain is the number of watchers in each failure domain.
 	watchersPerDomain = 1
-	// watchTimeout is how long the store may hold a watch without changes. A store that turned silent shows after it, and
-	// changes that it made meanwhile must be in force within 2 s.
+	// watchTimeout is how long a call waits for changes of the store. A store that stops answering is noticed only
+	// after this time, and changes that were written meanwhile must be in force within 2 s.
 	watchTimeout = 1500 * time.Millisecond
-	// changeBatchDelay is how long changes may gather at the store after some were read.
+	// changeBatchDelay is how long to wait after a call that returned changes, so that the next one returns several.
 	changeBatchDelay = 100 * time.Millisecond
-	// registerDelay is how long after its start a host looks for peers before it leaves its address in the store.
+	// registerDelay is how long after its start a host first registers its address in the store. By then it knows its
+	// peers, and only watchers register.
 	registerDelay = 3 * time.Second
-	// firstRetryPause is the pause after the first failed call in a row, and watchRetry after the next ones.
+	// firstRetryPause is the pause after the first of several failed calls in a row.
 	firstRetryPause = 20 * time.Millisecond
+	// watchRetryPause is the pause after each further failed call, and between other checks that are repeated.
 	watchRetryPause = 300 * time.Millisecond
-	// lostStoreRetryPause is the pause of a host whose store is lost while others can reach it.
+	// lostStoreRetryPause is the pause after a failed call while other hosts can reach the store.
 	lostStoreRetryPause = time.Second
-	// failuresUntilLost is how many calls in a row must fail for the store to count as lost.
+	// failuresUntilLost is how many calls in a row must fail for the store to count as unreachable.
 	failuresUntilLost = 2
-	// followKeepAliveInterval is how often a host shows its followers that it still listens.
+	// followKeepAliveInterval is how often a host sends its followers a keep-alive message while nothing changes.
 	followKeepAliveInterval = 500 * time.Millisecond
-	// followSilenceTimeout is how long the followed host may send nothing.
+	// followSilenceTimeout is how long a followed host may send nothing before its stream is closed.
 	followSilenceTimeout = 3 * followKeepAliveInterval
-	// catchUpDelay is how long a note that a peer has already may take to come from the watchers.
+	// catchUpDelay is how long to wait for a newer note (configuration revision) to arrive from the watchers before the
+	// peer that has it is asked.
 	catchUpDelay = 300 * time.Millisecond
-	// catchUpTimeout is how long a peer may take to tell everything that it knows of the store.
+	// catchUpTimeout is how long a peer may take to send all its entries of the store.
 	catchUpTimeout = time.Second
 	// maxFollowed is how many watchers each host follows.
 	maxFollowed = 2
-	// lapseCheckInterval is how often targets are checked whose entries lapsed during an outage.
+	// lapseCheckInterval is how often to look for targets whose entries expired during an outage of the store and were
+	// not written again.
 	lapseCheckInterval = 200 * time.Millisecond
 )
 
-// watchState is what the duties that follow the store share.
+// watchState is the state that the background tasks for the store share.
 type watchState struct {
-	// lost is set while the store can't be reached from here.
+	// lost is set while this host cannot reach the store.
 	lost atomic.Bool
 	// watching is set while this host follows the store itself.
 	watching atomic.Bool
-	// loaded is set once the store was read.
+	// loaded is set once this host has read the store successfully.
 	loaded atomic.Bool
 }
 
-// watchers returns the hosts that follow the store, those of the own failure domain first.
+// watchers returns the hosts that follow the store itself, those of this host's failure domain first.
 func (g *Gateway) watchers() []host.Member {
 	live := g.members.Live(g.now())
 	connected := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return m.StoreLost })
@@ -66,6 +71,7 @@
 	return list
 }
 
+// distance returns 0 for hosts of this host's failure domain and 1 for others.
 func (g *Gateway) distance(m host.Member) int {
 	if m.Domain == g.settings.Host.Domain {
 		return 0
@@ -73,13 +79,14 @@
 	return 1
 }
 
-// isWatcher reports whether this host follows the store itself: as one of the few, or because nobody else does.
+// isWatcher reports whether this host should follow the store itself: because it is one of the watchers, or because no
+// host is known to reach the store.
 func (g *Gateway) isWatcher() bool {
 	list := g.watchers()
 	return len(list) == 0 || slices.ContainsFunc(list, func(m host.Member) bool { return m.Name == g.settings.Host.Name })
 }
 
-// runStoreWatch reads the store at the start, and follows it while this host is a watcher.
+// runStoreWatch is the background task that reads the store at the start and follows it while this host is a watcher.
 func (g *Gateway) runStoreWatch(ctx context.Context) {
 	w := watcher{gateway: g}
 	for ctx.Err() == nil {
@@ -99,14 +106,15 @@
 // watcher follows the store from a revision on.
 type watcher struct {
 	gateway *Gateway
-	// revision is where to go on; 0 asks for a snapshot.
-	revision   int64
+	// revision is the store revision up to which changes were read; 0 means that a snapshot must be read.
+	revision int64
+	// registered is set once this host's address is in the store.
 	registered bool
 	// failures counts failed calls in a row.
 	failures int
 }
 
-// call makes the next call to the store.
+// call makes the next call to the store: a snapshot, the registration of this host or a wait for changes.
 func (w *watcher) call(ctx context.Context) error {
 	g := w.gateway
 	var err error
@@ -127,8 +135,8 @@
 	return err
 }
 
-// handleFailure takes in a failed call and returns the pause before the next. What was missed meanwhile may have left the
-// store's history, so the next call asks for a snapshot.
+// handleFailure handles a failed call and returns the pause before the next one. That one reads a snapshot, because
+// changes that were missed in the meantime may have been compacted away.
 func (w *watcher) handleFailure(err error) time.Duration {
 	g := w.gateway
 	w.revision = 0
@@ -146,7 +154,7 @@
 	return watchRetryPause
 }
 
-// readSnapshot reads the store whole.
+// readSnapshot reads all entries of the store and returns its revision.
 func (g *Gateway) readSnapshot(ctx context.Context) (int64, error) {
 	g.stats.storeCalls.Add(1)
 	entries, revision, err := g.config.Store.Snapshot(ctx, "")
@@ -158,7 +166,7 @@
 	return revision, nil
 }
 
-// readChanges waits for the next changes.
+// readChanges waits for changes after a revision and returns the new revision.
 func (g *Gateway) readChanges(ctx context.Context, revision int64) (int64, error) {
 	g.stats.storeCalls.Add(1)
 	changes, next, err := g.config.Store.Follow(ctx, "", revision, watchTimeout)
@@ -168,13 +176,13 @@
 	g.markStoreReturned()
 	g.broadcastChanges(g.roster.Apply(g.now(), changes, next), next, false)
 	if len(changes) > 0 {
-		// Changes come in bursts, and each answered call is paid for.
+		// Changes come in bursts, and each call that the store answers is charged for.
 		duty.Sleep(ctx, changeBatchDelay)
 	}
 	return next, nil
 }
 
-// register leaves the own address in the store, for hosts that know no peer.
+// register writes the inner address of this host to the store, where hosts that know no peer find it.
 func (g *Gateway) register(ctx context.Context) error {
 	key := g.dialect.PeerKey(g.settings.Host.Name)
 	if g.roster.View().Neighbours[key] == g.settings.Host.PeerAddress() {
@@ -184,20 +192,22 @@
 	return g.config.Store.Write(ctx, []platform.Entry{{Key: key, Value: []byte(g.settings.Host.PeerAddress())}}, nil)
 }
 
-// markStoreReturned notes the end of an outage of the store, here and for the followers.
+// markStoreReturned handles the end of an outage of the store and tells the followers about it.
 func (g *Gateway) markStoreReturned() {
 	if g.storeWatch.lost.Load() && g.roster.StoreReturned(g.now()) {
 		g.followers.broadcast(storeUpdate{returned: true})
 	}
 }
 
+// broadcastChanges sends followers an update unless there is nothing in it.
 func (g *Gateway) broadcastChanges(changes []platform.Change, revision int64, returned bool) {
 	if len(changes) > 0 || returned {
 		g.followers.broadcast(storeUpdate{changes, revision, returned})
 	}
 }
 
-// setStoreLost keeps whether the store can be reached, and explains changes of that.
+// setStoreLost sets whether the store is unreachable, which a non-nil error means. It records each transition and
+// sends it to the peers.
 func (g *Gateway) setStoreLost(err error) {
 	lost := err != nil
 	if g.storeWatch.lost.Swap(lost) == lost {
@@ -212,14 +222,15 @@
 	g.heartbeatNow.Push(struct{}{})
 }
 
-// runLapseCheck ends the use of targets whose entries lapsed and did not come back.
+// runLapseCheck is the background task that stops using targets whose entries expired during an outage of the store
+// and were not written again.
 func (g *Gateway) runLapseCheck(ctx context.Context) {
 	for duty.Sleep(ctx, lapseCheckInterval) {
 		g.roster.Tick(g.now())
 	}
 }
 
-// runPeerFollowing hears of the store's changes from the watchers while this host is none.
+// runPeerFollowing is the background task that receives changes of the store from watchers while this host is not one.
 func (g *Gateway) runPeerFollowing(ctx context.Context) {
 	streams := map[string]context.CancelFunc{}
 	ended := make(chan string, maxFollowed)
@@ -241,7 +252,8 @@
 	}
 }
 
-// updateFollowed begins and ends streams so that the first few watchers are followed.
+// updateFollowed opens and closes streams so that the first maxFollowed update sources are followed. Names of streams
+// that have ended are sent to ended.
 func (g *Gateway) updateFollowed(ctx context.Context, streams map[string]context.CancelFunc, ended chan<- string) {
 	wanted := map[string]bool{}
 	if !g.storeWatch.watching.Load() || !g.storeWatch.loaded.Load() || g.storeWatch.lost.Load() {
@@ -269,7 +281,7 @@
 	}
 }
 
-// updateSources returns the hosts to hear of the store from: the watchers, or any ready host while none reaches the store.
+// updateSources returns the hosts to follow: the watchers, or all ready hosts while none of them reaches the store.
 func (g *Gateway) updateSources() []host.Member {
 	if list := g.watchers(); len(list) > 0 {
 		return list
@@ -277,14 +289,15 @@
 	return g.members.Live(g.now())
 }
 
-// queueIfAhead notes that a peer is ahead of this host.
+// queueIfAhead queues the sender of a heartbeat for runCatchUp if it has a newer note than this host.
 func (g *Gateway) queueIfAhead(sender string, members []*inner.Member) {
 	if m, ahead := inner.Ahead(sender, members, g.chain.Number()); ahead {
 		g.peersAhead.Push(m)
 	}
 }
 
-// runCatchUp asks peers that are ahead when the watchers don't tell in time: they may be slow, or cut off from here alone.
+// runCatchUp is the background task that asks a peer with a newer note for its entries when the watchers have not sent
+// them in time. The watchers may be slow, or unreachable from this host only.
 func (g *Gateway) runCatchUp(ctx context.Context) {
 	for {
 		m, ok := g.peersAhead.Pop(ctx)
@@ -297,7 +310,7 @@
 	}
 }
 
-// catchUp takes in once what a peer knows of the store.
+// catchUp receives and applies all entries of the store that a peer has.
 func (g *Gateway) catchUp(ctx context.Context, m host.Member) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
@@ -308,18 +321,18 @@
 			g.applyUpdate(reply)
 		}
 	}
-	g.logger.Info().Str("Peer", m.Name).Int("Note", g.chain.Number()).Err(err).Msg("asked a peer that is ahead")
+	g.logger.Info().Str("Peer", m.Name).Int("Note", g.chain.Number()).Err(err).Msg("requested store entries from a peer that has a newer note")
 }
 
-// applyUpdate takes in what a peer tells of the store.
+// applyUpdate applies an update of the store from a peer and passes it on to this host's followers.
 func (g *Gateway) applyUpdate(reply *inner.FollowStoreReply) {
 	n := fromFollowReply(reply)
-	// What is news here may be news to own followers: a watcher that has lost the store hears of changes this way.
+	// A watcher that cannot reach the store receives changes this way, and its followers depend on it.
 	returned := n.returned && g.roster.StoreReturned(g.now())
 	g.broadcastChanges(g.roster.Apply(g.now(), n.changes, n.revision), n.revision, returned)
 }
 
-// followPeer takes in what one watcher tells until its stream ends.
+// followPeer receives updates from one host until the stream ends or sends nothing for followSilenceTimeout.
 func (g *Gateway) followPeer(ctx context.Context, m host.Member) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
