--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -37,11 +37,13 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex
-	// accepted and answered count requests; closing is set once no further one is taken.
+	// accepted counts the requests that were read, and responded those that were answered.
 	accepted, responded int
-	closing             bool
-	// lastTurn is closed when the request before the next one has been answered.
-	lastTurn      chan struct{}
+	// closing is set once no further request is accepted.
+	closing bool
+	// lastTurn is closed when the last accepted request has been answered.
+	lastTurn chan struct{}
+	// pipelineSlots holds one item for each request that is being handled.
 	pipelineSlots chan struct{}
 }
 
@@ -78,9 +80,9 @@
 func (c *callerConn) serve() {
 	var handlers sync.WaitGroup
 	for {
-		q, bad := c.readRequest()
+		q, rejected := c.readRequest()
 		if q == nil {
-			c.reject(bad)
+			c.reject(rejected)
 			break
 		}
 		done, previous, ok := c.accept(q.closeAfter)
@@ -127,15 +129,15 @@
 }
 
 // accept registers a request that was read, unless the connection is closing. The request may be answered once
-// previous is closed, and done must be closed after that; last is set if no further request is to be accepted.
-func (c *callerConn) accept(last bool) (done chan struct{}, previous <-chan struct{}, ok bool) {
+// previous is closed, and done must be closed after that; closeAfter is set if no further request is to be accepted.
+func (c *callerConn) accept(closeAfter bool) (done chan struct{}, previous <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return nil, nil, false
 	}
 	c.accepted++
-	c.closing = last
+	c.closing = closeAfter
 	done, previous = make(chan struct{}), c.lastTurn
 	c.lastTurn = done
 	return done, previous, true
@@ -208,8 +210,8 @@
 
 // reject answers a request that could not be read, after the requests before it. A nil rejection means that there is
 // nothing to answer.
-func (c *callerConn) reject(bad *rejection) {
-	if bad == nil {
+func (c *callerConn) reject(rejected *rejection) {
+	if rejected == nil {
 		// The caller has disconnected, or was idle for too long.
 		if c.callerLeft() {
 			c.cancel()
@@ -223,7 +225,7 @@
 	defer close(done)
 	<-previous
 	q := &request{method: http.MethodGet}
-	c.writeResponse(q, localResponse(bad.status, bad.reason, bad.retryAfter), true)
+	c.writeResponse(q, localResponse(rejected.status, rejected.reason, rejected.retryAfter), true)
 	c.gateway.stats.rejected.Add(1)
 }
 
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -15,21 +15,22 @@
 	"briarcroft/internal/page"
 )
 
-// Times and counts of the directory.
+// Limits of the directory and of the host's other pages.
 const (
-	// maxAddresses bounds the addresses in one answer.
+	// maxAddresses bounds the addresses in one directory response.
 	maxAddresses = 64
-	// minNearHosts is how many ready hosts a caller's failure domain needs for the caller to be sent to those alone.
+	// minNearHosts is how many ready hosts a caller's failure domain or region needs for the caller to be sent to only
+	// those.
 	minNearHosts = 3
-	// pageReadTimeout bounds the reading of requests to the host's own pages.
+	// pageReadTimeout bounds the reading of a request header for a page of the host itself.
 	pageReadTimeout = 3 * time.Second
 )
 
-// serveHTTP serves a host's own pages until the context ends.
+// serveHTTP serves pages of the host itself until the context ends.
 func serveHTTP(ctx context.Context, l net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: pageReadTimeout, IdleTimeout: 4 * pageReadTimeout}
 	stop := context.AfterFunc(ctx, func() {
-		// The listener closes with the host; requests to these pages are short.
+		// Requests to these pages are short, so they are not waited for; the listener is closed with the host.
 		_ = server.Close()
 	})
 	defer stop()
@@ -40,6 +41,7 @@
 	return err
 }
 
+// serveReady serves the readiness check: status 200 while the host is ready and 503 otherwise.
 func (g *Gateway) serveReady(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+g.dialect.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -50,6 +52,7 @@
 	return serveHTTP(ctx, l, mux)
 }
 
+// serveDirectory serves the directory, which tells callers the addresses of entry hosts to connect to.
 func (g *Gateway) serveDirectory(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+g.dialect.AddressesPath, func(w http.ResponseWriter, r *http.Request) {
@@ -64,15 +67,16 @@
 	return serveHTTP(ctx, l, mux)
 }
 
-// addresses returns where a caller of a failure domain should connect. Callers choose among them at random, so those
-// of other domains are named only when the caller's own has few hosts.
+// addresses returns the addresses of ready hosts for a caller of a failure domain and region. Callers choose among them
+// at random, so hosts of other domains are included only when the caller's domain has fewer than minNearHosts, and
+// hosts of other regions only when its region has too few as well.
 func (g *Gateway) addresses(domain, region string) []string {
 	live := g.members.Live(g.now())
-	for _, near := range []func(host.Member) bool{
+	for _, isNear := range []func(host.Member) bool{
 		func(m host.Member) bool { return m.Domain == domain },
 		func(m host.Member) bool { return m.Region == region },
 	} {
-		list := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return !near(m) })
+		list := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return !isNear(m) })
 		if len(list) >= minNearHosts {
 			return listenAddresses(list)
 		}
@@ -80,6 +84,7 @@
 	return listenAddresses(live)
 }
 
+// listenAddresses returns the callers' addresses of up to maxAddresses hosts.
 func listenAddresses(members []host.Member) []string {
 	var list []string
 	for _, m := range members[:min(len(members), maxAddresses)] {
@@ -88,11 +93,12 @@
 	return list
 }
 
+// serveMetrics serves the operator's pages: metrics, the note in force, the host's status and its change records.
 func (g *Gateway) serveMetrics(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /Metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// A reader that has gone reads no error either.
+		// A write error means that the client has disconnected; there is nobody to report it to.
 		_, _ = w.Write([]byte(g.vars().String() + "\n"))
 	})
 	mux.HandleFunc("GET /Note", g.serveNote)
@@ -101,6 +107,7 @@
 	return serveHTTP(ctx, l, mux)
 }
 
+// serveNote serves the status of the note, that is the configuration revision, in force.
 func (g *Gateway) serveNote(w http.ResponseWriter, _ *http.Request) {
 	head, hash, _ := g.chain.Head()
 	page.Write(w, http.StatusOK, note.Status{
@@ -109,6 +116,7 @@
 	})
 }
 
+// serveStatus serves the membership and the latencies as this host sees them.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	self := g.members.Self()
 	page.Write(w, http.StatusOK, struct {
@@ -125,7 +133,7 @@
 	})
 }
 
-// vars returns the counters and histograms.
+// vars returns the metrics: counters, gauges and latency histograms.
 func (g *Gateway) vars() *expvar.Map {
 	s := &g.stats
 	vars := new(expvar.Map).Init()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,11 @@
-// Package gateway is an entry host whose requests are placed by the home of their service: it takes requests from callers,
-// asks the home for a place, sends them to backend servers and answers.
+// Package gateway implements an entry host of the load balancer: it reads HTTP requests from callers (HTTP clients),
+// has the home of the requested service choose a target (a backend server) for each, sends the request there, retries
+// it where that is allowed, and returns the response.
+//
+// The home of a service is the entry host that decides for all entry hosts which target runs which request of that
+// service. Every entry host can be a home, and one that reaches no home places its requests itself. Hosts find each
+// other by heartbeats and replicate the platform's store, which holds the configuration and the registered targets.
+// A revision of the configuration is called a note.
 package gateway
 
 import (
@@ -32,98 +38,113 @@
 
 var namespace = errorx.NewNamespace("gateway").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrListen reports an address that cannot be listened on.
+// ErrListen reports that the host cannot listen on one of its addresses.
 var ErrListen = namespace.NewType("listen")
 
-// maxRecords is the number of records of changes that are kept for explanations.
+// maxRecords is the number of change records that are kept for the operator's explain page.
 const maxRecords = 256
 
-// heartbeatsPerDomain is how many peers of the own failure domain a heartbeat goes to.
+// heartbeatsPerDomain is how many peers of this host's failure domain get each heartbeat; of other domains one peer does.
 const heartbeatsPerDomain = 2
 
-// Dialect is how a platform names things towards callers and backend servers.
+// Dialect holds the header fields, paths and formats that a platform uses between callers, entry hosts, backend
+// servers and its store.
 type Dialect struct {
-	// Header fields of requests: their number, and the caller's remaining patience in milliseconds.
+	// AttemptIDHeader is the request header field with the caller's identifier of the attempt.
 	AttemptIDHeader string
-	DeadlineHeader  string
-	// ExpectedTargetHeader tells a backend server which one is meant, so that another at its address declines.
+	// DeadlineHeader is the request header field with the time that the sender still waits, in milliseconds.
+	DeadlineHeader string
+	// ExpectedTargetHeader is the request header field with the name of the target that is meant, so that another
+	// backend server at its address refuses the request.
 	ExpectedTargetHeader string
-	// Header fields of answers: the proof that a backend server made it, its word that it did not run the request,
-	// its name and its load.
-	SealHeader     string
-	NotRunHeader   string
+	// SealHeader is the response header field that proves that a backend server made the response.
+	SealHeader string
+	// NotRunHeader is the response header field by which a backend server states that it did not run the request.
+	NotRunHeader string
+	// InstanceHeader is the response header field with the backend server's name.
 	InstanceHeader string
-	LoadHeader     string
-	// ParseLoad reads LoadHeader.
+	// LoadHeader is the response header field with the backend server's load.
+	LoadHeader string
+	// ParseLoad parses LoadHeader; it returns false for a malformed value.
 	ParseLoad func(string) (placement.Load, bool)
-	// Decode reads entries of the store.
+	// Decode decodes entries of the store.
 	Decode roster.DecodeFunc
-	// PeerKey is the store key under which a host leaves its inner address.
+	// PeerKey returns the store key under which a host registers its inner address.
 	PeerKey func(host string) string
-	// ReadyPath and AddressesPath are answered on the ready and the directory address.
-	ReadyPath     string
+	// ReadyPath is the path of the readiness check on the ready address.
+	ReadyPath string
+	// AddressesPath is the path of the addresses of entry hosts on the directory address.
 	AddressesPath string
-	// ParseAddresses reads who asks for addresses, and AddressesBody is the answer.
+	// ParseAddresses returns the failure domain and region of the caller that requests AddressesPath.
 	ParseAddresses func(*http.Request) (domain, region string)
-	AddressesBody  func(addresses []string, keepSeconds int) any
+	// AddressesBody returns the response to such a request, to be encoded as JSON; callers may keep it for keepSeconds.
+	AddressesBody func(addresses []string, keepSeconds int) any
 }
 
 // Config sets up a Gateway.
 type Config struct {
 	Settings settings.Settings
 	Dialect  Dialect
-	Store    platform.Feed
-	Logger   zerolog.Logger
-	// Listen opens listeners; nil means TCP.
+	// Store is the platform's store of configuration and targets.
+	Store  platform.Feed
+	Logger zerolog.Logger
+	// Listen opens listeners; nil means net.Listen.
 	Listen func(network, address string) (net.Listener, error)
 	// Dial opens connections to backend servers and peers; nil means TCP.
 	Dial socket.DialFunc
 }
 
-// Gateway is one entry host.
+// Gateway is one entry host. Its exported methods are safe for concurrent use.
 type Gateway struct {
 	config   Config
 	settings settings.Settings
-	// reloadable holds the settings that may change while the host runs.
-	reloadable   atomic.Pointer[settings.Settings]
-	dialect      Dialect
-	start        time.Time
-	incarnation  uint64
-	logger       zerolog.Logger
-	requestLog   *requestLog
-	records      *record.Book
-	chain        *note.Chain
-	roster       *roster.Roster
-	members      *host.Table
-	heartbeats   *inner.Heartbeats
-	client       *inner.Client
+	// reloadable holds the newest settings, of which only some take effect without a restart.
+	reloadable atomic.Pointer[settings.Settings]
+	dialect    Dialect
+	start      time.Time
+	// incarnation identifies this start of the host; a later start has a higher one.
+	incarnation uint64
+	logger      zerolog.Logger
+	requestLog  *requestLog
+	// records are the change records for operators.
+	records *record.Book
+	// chain is the sequence of notes that were in force.
+	chain *note.Chain
+	// roster is this host's replica of the store.
+	roster     *roster.Roster
+	members    *host.Table
+	heartbeats *inner.Heartbeats
+	// client calls peers.
+	client *inner.Client
+	// heartbeatNow makes the next heartbeat go out at once.
 	heartbeatNow *ring.Ring[struct{}]
-	peersAhead   *ring.Ring[host.Member]
-	homeServer   *homeServer
-	pools        *pools
-	homeClient   *homeClient
-	rules        atomic.Pointer[ruleIndex]
-	split        trafficSplit
-	histograms   *meter.Histograms
-	stats        stats
-	followers    followers
-	storeWatch   watchState
-	bodies       bodyBudget
-	// applyMu is held while a view is put in force; targetStates is what was last explained.
+	// peersAhead holds a peer that has a newer note than this host.
+	peersAhead *ring.Ring[host.Member]
+	homeServer *homeServer
+	pools      *pools
+	homeClient *homeClient
+	rules      atomic.Pointer[ruleIndex]
+	split      trafficSplit
+	histograms *meter.Histograms
+	stats      stats
+	followers  followers
+	storeWatch watchState
+	bodies     bodyBudget
+	// applyMu serialises applyView and guards targetStates, which holds the recorded state of each target by name.
 	applyMu      sync.Mutex
 	targetStates map[string]string
 	// stopping is set once a graceful stop has begun.
 	stopping atomic.Bool
-	// inForceSince is when the note in force was adopted, in Unix milliseconds.
+	// inForceSince is when the note in force took effect, in Unix milliseconds.
 	inForceSince atomic.Int64
-	// callerConns holds the open connections of callers, and open counts them.
+	// callerConns holds the open connections of callers as keys.
 	callerConns sync.Map
 	openConns   atomic.Int64
-	// background is the context of requests that go on when their caller leaves.
+	// background is the context of health probes and of requests that continue after their caller has disconnected.
 	background context.Context
 }
 
-// New returns a gateway and the function that closes its connections.
+// New returns a gateway and the function that closes its connections, to be called after Serve has returned.
 func New(c Config) (*Gateway, func()) {
 	if c.Listen == nil {
 		c.Listen = net.Listen
@@ -135,9 +156,9 @@
 	}
 	g.reloadable.Store(&g.settings)
 	g.incarnation = uint64(g.start.UnixMilli())<<16 | uint64(rand.Uint32N(1<<16))
-	var closeBook, closeClient, closeTrace func()
-	g.requestLog, closeTrace = newTrace(c.Logger)
-	g.records, closeBook = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: maxRecords, Logger: c.Logger})
+	var closeRecords, closeClient, closeLog func()
+	g.requestLog, closeLog = newRequestLog(c.Logger)
+	g.records, closeRecords = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: maxRecords, Logger: c.Logger})
 	g.client, closeClient = inner.NewClient(inner.ClientConfig{Dial: c.Dial})
 	g.members = host.New(host.Config{
 		Self: host.Member{
@@ -149,8 +170,8 @@
 	g.heartbeats = &inner.Heartbeats{Table: g.members, Client: g.client, Now: g.now, Request: func(n host.News) *inner.HeartbeatRequest {
 		return inner.Request(c.Settings.Host.Name, n)
 	}, Heard: func(r *inner.HeartbeatReply) { g.queueIfAhead(r.Sender, r.Members) }}
-	var endAll context.CancelFunc
-	g.background, endAll = context.WithCancel(context.Background())
+	var cancelBackground context.CancelFunc
+	g.background, cancelBackground = context.WithCancel(context.Background())
 	g.rules.Store(&ruleIndex{})
 	g.homeServer = newHomeServer(g)
 	g.pools = newPools(g)
@@ -158,37 +179,37 @@
 	g.followers.queues = map[uint64]*ring.Ring[storeUpdate]{}
 	g.roster = roster.New(roster.Config{Decode: c.Dialect.Decode, OnRefused: g.recordRejectedEntry, OnChange: g.applyView})
 	return g, func() {
-		endAll()
+		cancelBackground()
 		g.homeClient.close()
 		g.pools.close()
 		closeClient()
-		closeBook()
-		closeTrace()
+		closeRecords()
+		closeLog()
 	}
 }
 
-// now is the host's monotonic clock.
+// now returns the time since the gateway was created, on the monotonic clock.
 func (g *Gateway) now() time.Duration { return time.Since(g.start) }
 
-// Listen returns the address that callers connect to.
+// Listen returns the address on which the host listens for callers.
 func (g *Gateway) Listen() string { return g.settings.Host.Listen }
 
-// Inner returns the address that peers connect to.
+// Inner returns the address on which the host listens for peers.
 func (g *Gateway) Inner() string { return g.settings.Host.Inner }
 
-// Reload takes new settings; addresses and names hold until the next start.
+// Reload applies new settings. Changed settings of the host or the platform take effect only after a restart.
 func (g *Gateway) Reload(s settings.Settings) {
 	g.reloadable.Store(&s)
 	g.members.SetSeeds(s.Peers.Seeds)
 	g.logger.Info().Strs("Seeds", s.Peers.Seeds).Bool("NeedsRestart", s.Host != g.settings.Host || s.Platform != g.settings.Platform).Msg("settings reloaded")
 }
 
-// recordRejectedEntry explains an entry of the store that can't be used.
+// recordRejectedEntry writes a change record for an entry of the store that cannot be decoded.
 func (g *Gateway) recordRejectedEntry(key string, err error) {
 	g.records.Add(record.Record{Kind: record.NoteRejected, Cause: "StoreEntry", Note: g.chain.Number(), Evidence: record.Evidence{Detail: key + ": " + err.Error()}})
 }
 
-// applyView puts the newest view of the store in force.
+// applyView puts the configuration and the targets of the newest view of the store in force.
 func (g *Gateway) applyView() {
 	g.applyMu.Lock()
 	defer g.applyMu.Unlock()
@@ -201,7 +222,7 @@
 	g.updateReady()
 }
 
-// applyConfiguration writes the release note that a new configuration amounts to.
+// applyConfiguration appends a newer configuration to the chain of notes; the note describes the differences.
 func (g *Gateway) applyConfiguration(c note.Configuration) {
 	_, _, old := g.chain.Head()
 	if c.Number <= old.Number {
@@ -221,30 +242,31 @@
 	})
 }
 
-// recordTargetChanges writes a record for each target that came, began to leave or went. Only one view is adopted at a time.
+// recordTargetChanges writes a change record for each target that was registered, began to drain or was removed. The
+// caller holds applyMu.
 func (g *Gateway) recordTargetChanges(v *roster.View) {
-	now := map[string]string{}
+	states := map[string]string{}
 	for service, list := range v.Targets {
 		for _, t := range list {
 			state := route.Live.String()
 			if t.Leaving {
 				state = route.Draining.String()
 			}
-			now[t.Name] = state
+			states[t.Name] = state
 			if old := g.targetStates[t.Name]; old != state {
 				g.records.Add(record.Record{Kind: record.TargetMoved, Service: service, Target: t.Name, From: old, To: state, Cause: "Registered", Note: g.chain.Number()})
 			}
 		}
 	}
 	for name := range g.targetStates {
-		if now[name] == "" {
+		if states[name] == "" {
 			g.records.Add(record.Record{Kind: record.TargetForgotten, Target: name, Cause: "EntryRemoved", Note: g.chain.Number()})
 		}
 	}
-	g.targetStates = now
+	g.targetStates = states
 }
 
-// updateReady makes the host ready once it knows a configuration and is not stopping.
+// updateReady marks this host as ready if it has a configuration and is not stopping, and tells its peers of a change.
 func (g *Gateway) updateReady() {
 	ready := g.chain.Number() > 0 && !g.stopping.Load()
 	if ready != g.members.Self().Ready {
@@ -253,7 +275,8 @@
 	}
 }
 
-// Serve runs the gateway until stop ends, then stops gracefully; it returns at once when force ends.
+// Serve runs the gateway until stop ends and then stops gracefully; it returns at once when force ends. Errors are
+// ErrListen or that of a failed listener.
 func (g *Gateway) Serve(stop, force context.Context) error {
 	listeners, err := g.listen()
 	if err != nil {
@@ -280,21 +303,22 @@
 	case <-stop.Done():
 	}
 	g.stopGracefully(force, func() {
-		// The front listener is of no more use, whatever Close says.
+		// An error of Close does not matter, as the listener is not used any more.
 		_ = listeners[callerListener].Close()
 	})
 	return nil
 }
 
-// listener is one address with what answers on it.
+// listener is a listener with the function that serves its connections.
 type listener struct {
 	net.Listener
 	handle func(context.Context, net.Listener) error
 }
 
+// serve serves connections until the context ends or the listener is closed, neither of which is an error.
 func (l listener) serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		// A listener that is closed twice tells nothing of use.
+		// The listener may already be closed; the error does not matter.
 		_ = l.Close()
 	})
 	defer stop()
@@ -305,14 +329,16 @@
 	return err
 }
 
-// callerListener is the place of the callers' listener among a host's listeners.
+// callerListener is the index of the callers' listener in the result of listen. The only address before it, Inner, is
+// always set.
 const callerListener = 1
 
+// listen opens the listeners of all addresses that are set in the settings.
 func (g *Gateway) listen() ([]listener, error) {
 	s := g.settings.Host
 	endpoints := []struct {
 		key, address string
-		answer       func(context.Context, net.Listener) error
+		handle       func(context.Context, net.Listener) error
 	}{
 		{"Inner", s.Inner, g.servePeers},
 		{"Listen", s.Listen, g.serveCallers},
@@ -321,18 +347,18 @@
 		{"Metrics", s.Metrics, g.serveMetrics},
 	}
 	var list []listener
-	for _, endpoint := range endpoints {
-		if endpoint.address == "" {
+	for _, e := range endpoints {
+		if e.address == "" {
 			continue
 		}
-		l, err := g.config.Listen("tcp", endpoint.address)
+		l, err := g.config.Listen("tcp", e.address)
 		if err != nil {
 			for _, opened := range list {
 				err = errors.Join(err, opened.Close())
 			}
-			return nil, ErrListen.New("[Host] %s: %v; choose a free address", endpoint.key, err)
+			return nil, ErrListen.New("[Host] %s: %v; choose a free address", e.key, err)
 		}
-		list = append(list, listener{l, endpoint.answer})
+		list = append(list, listener{l, e.handle})
 	}
 	return list, nil
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -139,13 +139,13 @@
 	g := p.gateway
 	number, changes := g.followers.add()
 	defer g.followers.remove(number)
-	everything, revision := g.roster.Changes()
-	if err := stream.Send(toFollowReply(storeUpdate{changes: everything, revision: revision})); err != nil {
+	all, revision := g.roster.Changes()
+	if err := stream.Send(toFollowReply(storeUpdate{changes: all, revision: revision})); err != nil {
 		return err
 	}
 	for g.followers.contains(number) {
-		wait, cancel := context.WithTimeout(stream.Context(), followKeepAliveInterval)
-		n, ok := changes.Pop(wait)
+		waitCtx, cancel := context.WithTimeout(stream.Context(), followKeepAliveInterval)
+		n, ok := changes.Pop(waitCtx)
 		cancel()
 		if stream.Context().Err() != nil {
 			return stream.Context().Err()
@@ -157,7 +157,7 @@
 			return err
 		}
 	}
-	return inner.ErrPeer.New("host %s could not keep up; following again from the start", g.settings.Host.Name)
+	return inner.ErrPeer.New("host %s dropped a follower of the store that read too slowly; it must follow again from the start", g.settings.Host.Name)
 }
 
 func toFollowReply(n storeUpdate) *inner.FollowStoreReply {
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -16,9 +16,9 @@
 	targetDialTimeout = 300 * time.Millisecond
 	// targetUnackedTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
 	targetUnackedTimeout = 2 * time.Second
-	// targetProofTime is how long after its last response a connection may be reused for a request that is not
+	// targetRecentUseWindow is how long after its last response a connection may be reused for a request that is not
 	// repeatable: such a request must not be lost on a dead connection.
-	targetProofTime = 5 * time.Second
+	targetRecentUseWindow = 5 * time.Second
 	// maxTargetConnections bounds the connections of this host to one target.
 	maxTargetConnections = 32
 )
@@ -50,7 +50,7 @@
 	entry, found := p.byKey[key]
 	if !found {
 		entry.Pool, entry.close = backend.New(backend.Config{
-			Address: address, MaxConnections: maxTargetConnections, DialTimeout: targetDialTimeout, ProofTime: targetProofTime,
+			Address: address, MaxConnections: maxTargetConnections, DialTimeout: targetDialTimeout, ProofTime: targetRecentUseWindow,
 			Silence: targetUnackedTimeout, Answers: p.gateway.responseMatches, Dial: p.gateway.config.Dial,
 		})
 		p.byKey[key] = entry
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -13,29 +13,30 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the log of requests.
+// Limits of the request log.
 const (
-	// logQueueSize is how many lines may wait for the writer.
+	// logQueueSize is the number of entries that may be queued for the writer.
 	logQueueSize = 512
-	// routineLinesPerSecond and oddLines are how many lines a second requests get that met their goal at the first try, and all others.
+	// routineLinesPerSecond limits the entries for requests that succeeded within their latency goal at the first attempt.
 	routineLinesPerSecond = 10
+	// notableLinesPerSecond limits the entries for all other requests.
 	notableLinesPerSecond = 100
 )
 
-// logEntry is what the log tells of one request.
+// logEntry is the entry of one request in the request log.
 type logEntry struct {
 	at                       time.Time
 	id, rule, service, home  string
 	outcome, reason, targets string
 	status, note             int
-	asks, hedges             int
+	homesAsked, hedges       int
 	queued, sent, late       bool
 	took, remaining          time.Duration
-	// decided is what the home based its last decision on.
-	decided placement.Verdict
+	// verdict is the last verdict about the request, with the estimates that it was based on.
+	verdict placement.Verdict
 }
 
-// requestLog writes lines without ever holding up a request.
+// requestLog writes entries in the background. It drops and counts entries rather than delay a request.
 type requestLog struct {
 	logger           zerolog.Logger
 	entries          *ring.Ring[logEntry]
@@ -43,7 +44,8 @@
 	unwritten        atomic.Int64
 }
 
-func newTrace(logger zerolog.Logger) (*requestLog, func()) {
+// newRequestLog returns a request log and the function that stops its writer.
+func newRequestLog(logger zerolog.Logger) (*requestLog, func()) {
 	r := &requestLog{
 		logger: logger, entries: ring.New[logEntry](ring.Config{Capacity: logQueueSize}),
 		routine: rate.NewLimiter(routineLinesPerSecond, routineLinesPerSecond), notable: rate.NewLimiter(notableLinesPerSecond, notableLinesPerSecond),
@@ -53,11 +55,11 @@
 	go func() {
 		defer close(done)
 		for {
-			l, ok := r.entries.Pop(ctx)
+			e, ok := r.entries.Pop(ctx)
 			if !ok {
 				return
 			}
-			r.write(l)
+			r.write(e)
 		}
 	}()
 	return r, func() {
@@ -66,10 +68,10 @@
 	}
 }
 
-// add queues a line unless there were too many lately.
+// add queues an entry unless the rate limit is reached or the queue is full.
 func (r *requestLog) add(l logEntry) {
 	limiter := r.notable
-	if l.status < 300 && l.asks == 1 && l.hedges == 0 && l.sent && !l.late {
+	if l.status < 300 && l.homesAsked == 1 && l.hedges == 0 && l.sent && !l.late {
 		limiter = r.routine
 	}
 	if !limiter.Allow() || !r.entries.Push(l) {
@@ -79,7 +81,7 @@
 
 func (r *requestLog) write(l logEntry) {
 	e := r.logger.Info()
-	switch d := l.decided.(type) {
+	switch d := l.verdict.(type) {
 	case placement.Placed:
 		e.Dur("ExpectedMilliseconds", d.Expected).Dur("KnowledgeAgeMilliseconds", d.KnowledgeAge)
 	case placement.Refused:
@@ -88,18 +90,18 @@
 	e.
 		Time("At", l.at).Str("Request", l.id).Str("Rule", l.rule).Str("Service", l.service).Str("Home", l.home).
 		Str("Targets", l.targets).Str("Outcome", l.outcome).Str("Reason", l.reason).Int("Status", l.status).Int("Note", l.note).
-		Int("Asks", l.asks).Int("Hedges", l.hedges).Bool("Queued", l.queued).Bool("Sent", l.sent).Bool("Late", l.late).
+		Int("Asks", l.homesAsked).Int("Hedges", l.hedges).Bool("Queued", l.queued).Bool("Sent", l.sent).Bool("Late", l.late).
 		Dur("TookMilliseconds", l.took).Dur("LeftMilliseconds", l.remaining).Int64("Unwritten", r.unwritten.Load()).
 		Msg("request ended")
 }
 
-// stats are the counters that the metrics address shows.
+// stats holds the counters that the metrics page shows.
 type stats struct {
 	requests, attempts, probes, storeCalls, silentHomes, slowReaders, rejected atomic.Int64
 	answered, refused, failed, notFound, truncated                             atomic.Int64
 }
 
-// finish counts and logs how a request ended.
+// finish counts and logs how a request ended; sent reports whether the whole response was written.
 func (g *Gateway) finish(x *exchange, response *callerResponse, sent bool) {
 	took := g.now() - x.request.arrived
 	s := &g.stats
@@ -117,8 +119,8 @@
 	}
 	l := logEntry{
 		at: time.Now().UTC(), id: x.request.attemptID, rule: x.rule.Name, service: x.service, outcome: x.lastOutcome, reason: response.reason,
-		status: response.status, note: x.noteNumber, asks: x.homesAsked, hedges: x.hedges, queued: x.queued, sent: sent, took: took,
-		remaining: x.deadline - g.now(), late: x.ruleFound && g.now() > x.goal, decided: x.verdict,
+		status: response.status, note: x.noteNumber, homesAsked: x.homesAsked, hedges: x.hedges, queued: x.queued, sent: sent, took: took,
+		remaining: x.deadline - g.now(), late: x.ruleFound && g.now() > x.goal, verdict: x.verdict,
 	}
 	if x.placer != nil {
 		l.home = x.placer.name()
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -9,7 +9,8 @@
 	"briarcroft/internal/note"
 )
 
-// ruleIndex finds the rule of a request: by host, then the longest path.
+// ruleIndex finds the rule of a request: by its host, then by the longest matching path prefix. It also holds the
+// limits and the number of the configuration that the rules belong to.
 type ruleIndex struct {
 	byHost map[string][]note.Rule
 	limits note.Limits
@@ -30,7 +31,7 @@
 	return x
 }
 
-// match returns the rule for a request.
+// match returns the rule for a request, whose host may include a port.
 func (x *ruleIndex) match(host, path string) (note.Rule, bool) {
 	rules, found := x.byHost[host]
 	if !found {
@@ -46,14 +47,16 @@
 	return note.Rule{}, false
 }
 
-// trafficSplit divides the requests of rules that name several services.
+// trafficSplit divides the requests of rules that name several services, by smooth weighted round-robin.
 type trafficSplit struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// credits holds the current credit of each service of a rule, by the rule's name.
 	credits map[string][]float64
 }
 
-// choose returns the service for the next request of a rule. Each service's credit grows by its weight and the
-// richest one pays for the request, so that any few requests in a row are divided as the weights say.
+// choose returns the service for the next request of a rule. Each service's credit grows by its weight; the service
+// with the most credit is chosen and loses the sum of all weights. Even short runs of requests are divided by weight
+// in this way.
 func (s *trafficSplit) choose(r note.Rule) string {
 	if len(r.Shares) == 0 {
 		return r.Service
@@ -68,14 +71,14 @@
 		credit = make([]float64, len(r.Shares))
 		s.credits[r.Name] = credit
 	}
-	total, best := 0.0, 0
+	total, chosen := 0.0, 0
 	for i, share := range r.Shares {
 		credit[i] += float64(share.Weight)
 		total += float64(share.Weight)
-		if credit[i] > credit[best] {
-			best = i
+		if credit[i] > credit[chosen] {
+			chosen = i
 		}
 	}
-	credit[best] -= total
-	return r.Shares[best].Service
+	credit[chosen] -= total
+	return r.Shares[chosen].Service
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -236,11 +236,11 @@
 	ended := make(chan string, maxFollowed)
 	for {
 		g.updateFollowed(ctx, streams, ended)
-		wait, cancel := context.WithTimeout(ctx, watchRetryPause)
+		waitCtx, cancel := context.WithTimeout(ctx, watchRetryPause)
 		select {
 		case name := <-ended:
 			delete(streams, name)
-		case <-wait.Done():
+		case <-waitCtx.Done():
 		}
 		cancel()
 		if ctx.Err() != nil {
