--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -11,17 +11,17 @@
 	"briarcroft/platform/standin"
 )
 
-// TestFailuresPassOn lets targets answer with failures of their own: callers get status, fields and body as they are.
+// TestFailuresPassOn lets targets answer with an error status: callers get status, header and body unchanged.
 func TestFailuresPassOn(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 500, 502} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
-			inFleet(t, 2, 2, func(f *fleet) {
+			withFleet(t, 2, 2, func(f *fleet) {
 				for _, x := range f.targets {
 					x.Set(func(t *standin.Target) { t.Status = status })
 				}
 				for i, request := range []struct{ method, path string }{{http.MethodPost, "/order/1"}, {http.MethodGet, "/lookup/1"}} {
 					id := fmt.Sprintf("f%d", i)
-					r := f.call(f.other(), request.method, request.path, id)
+					r := f.call(f.notHome(), request.method, request.path, id)
 					f.is.NoErr(r.err)
 					f.is.Equal(r.status, status)
 					f.is.Equal(r.body, "answer to "+id)
@@ -34,10 +34,10 @@
 	}
 }
 
-// TestOddRefusalIsNoPromise lets targets run a request and answer 503 without a seal or a word that it was not run: callers would
-// take that for a promise and send an unsafe request again.
-func TestOddRefusalIsNoPromise(t *testing.T) {
-	inFleet(t, 2, 2, func(f *fleet) {
+// TestUnsealedRefusalNotPassedOn lets targets run an unsafe request and answer 503 without a seal or a statement that it
+// was not run. Passed on to the caller, that status would imply that the request may safely be sent again.
+func TestUnsealedRefusalNotPassedOn(t *testing.T) {
+	withFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
 			x.Set(func(t *standin.Target) { t.Status, t.Unsealed = 503, true })
 		}
@@ -48,12 +48,13 @@
 	})
 }
 
-// TestTimeLeftIsSent lets one target lose its answers late: each target is told the time that is left, which is less for a second one.
+// TestTimeLeftIsSent lets one target break connections after 200 ms: the deadline header of each request to a target
+// holds the time that remains, which is less for the retry on a second target.
 func TestTimeLeftIsSent(t *testing.T) {
-	inFleet(t, 2, 3, func(f *fleet) {
+	withFleet(t, 2, 3, func(f *fleet) {
 		const lateAnswer = 200 * time.Millisecond
 		f.targets["t0"].Set(func(t *standin.Target) { t.Lose, t.Work = true, lateAnswer })
-		seconds := 0
+		secondTargets := 0
 		for i := range 30 {
 			id := fmt.Sprintf("l%d", i)
 			for _, x := range f.targets {
@@ -66,7 +67,7 @@
 					for _, limit := range t.Limits {
 						f.is.True(limit > 0 && limit <= time.Second)
 						if second && t.Name != "t0" {
-							seconds++
+							secondTargets++
 							f.is.True(limit <= time.Second-lateAnswer)
 						}
 					}
@@ -74,15 +75,15 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		f.is.True(seconds > 0) // some request went to a second target
+		f.is.True(secondTargets > 0) // at least one request went to a second target
 	})
 }
 
-// TestAddressOfAnotherServer hands the address of one target to a server of another name: it runs nothing that was meant for the
-// first one, and callers don't notice.
+// TestAddressOfAnotherServer gives the address of one target to a server of another name: that server runs no request
+// that was meant for the target, and all requests succeed.
 func TestAddressOfAnotherServer(t *testing.T) {
-	inFleet(t, 2, 3, func(f *fleet) {
-		f.targets["t0"].Set(func(t *standin.Target) { t.Name = "stranger" })
+	withFleet(t, 2, 3, func(f *fleet) {
+		f.targets["t0"].Set(func(t *standin.Target) { t.Name = "other" })
 		for i := range 40 {
 			id, method, path := fmt.Sprintf("a%d", i), http.MethodGet, "/lookup/1"
 			if i%2 == 0 {
@@ -97,9 +98,10 @@
 	})
 }
 
-// TestNewTargetGetsWork adds a target while more requests come than the old ones have slots: it gets its fair part of them.
+// TestNewTargetGetsWork adds a target while there are more concurrent requests than the other targets have slots: the
+// new target gets at least half of its equal share.
 func TestNewTargetGetsWork(t *testing.T) {
-	inFleet(t, 3, 2, func(f *fleet) {
+	withFleet(t, 3, 2, func(f *fleet) {
 		const callers, each = 7, 20
 		send := func(prefix string) {
 			var group sync.WaitGroup
@@ -113,10 +115,10 @@
 			group.Wait()
 		}
 		send("before")
-		late := f.addTarget("late")
+		added := f.addTarget("late")
 		time.Sleep(2 * time.Second)
 		send("after")
-		late.Set(func(t *standin.Target) {
+		added.Set(func(t *standin.Target) {
 			f.is.True(len(t.Runs) >= callers*each/3/2) // at least half of a third
 		})
 	})
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Live returns how many ready hosts the gateway knows, and which of them is home to a service.
-func (g *Gateway) Live(service string) (hosts int, home string) {
+// ReadyHosts returns how many ready hosts the gateway knows, and which of them is the primary home of a service.
+func (g *Gateway) ReadyHosts(service string) (hosts int, home string) {
 	ranked := g.homeClient.rankedHomes(service)
 	if len(ranked) == 0 {
 		return 0, ""
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -24,7 +24,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fleet is a set of gateways, backend servers and a store on an in-memory network, in virtual time.
+// fleet is a set of gateways, backend servers and a store on an in-memory network.
 type fleet struct {
 	is      *is.I
 	net     *fakenet.Network
@@ -33,25 +33,26 @@
 	targets map[string]*standin.Target
 	servers []*http.Server
 	running sync.WaitGroup
-	// closers end what gateways hold.
-	closers []func()
-	last    int
+	// cleanups close the connections of gateways.
+	cleanups    []func()
+	lastAddress int
 }
 
-// node is one gateway.
+// node is one gateway with its addresses. Calling stop stops it gracefully, and force at once.
 type node struct {
-	gateway                        *gateway.Gateway
-	name                           string
-	front, inner, ready, directory string
-	stop, force                    context.CancelFunc
-	done                           chan error
+	gateway                         *gateway.Gateway
+	name                            string
+	listen, inner, ready, directory string
+	stop, force                     context.CancelFunc
+	done                            chan error
 }
 
-// domainOf spreads hosts over three failure domains.
+// domainOf returns the failure domain of the i-th host, one of three.
 func domainOf(i int) string { return []string{"a", "b", "c"}[i%3] }
 
-// inFleet runs a test in virtual time with a store, its configuration, some targets of one service and some gateways.
-func inFleet(t *testing.T, hosts, targets int, run func(f *fleet)) {
+// withFleet runs a test in virtual time (testing/synctest) with a store, a configuration, targets of one service and
+// gateways, after the gateways have found each other.
+func withFleet(t *testing.T, hosts, targets int, run func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), net: fakenet.New(), store: standin.New(), hosts: map[string]*node{}, targets: map[string]*standin.Target{}}
 		defer f.close()
@@ -74,7 +75,7 @@
 	for _, n := range f.hosts {
 		<-n.done
 	}
-	for _, c := range f.closers {
+	for _, c := range f.cleanups {
 		c()
 	}
 	f.net.CloseAll()
@@ -82,11 +83,11 @@
 		_ = s.Close()
 	}
 	f.running.Wait()
-	// Handlers that still sleep end before the test does.
+	// Handlers of targets may still be sleeping and must end before the test does.
 	time.Sleep(10 * time.Second)
 }
 
-// serve runs an HTTP server of a node and returns its address.
+// serve starts an HTTP server on a node of the network and returns its address.
 func (f *fleet) serve(node, address string, handler http.Handler) string {
 	l := f.net.Listen(node, address)
 	server := &http.Server{Handler: handler}
@@ -109,7 +110,7 @@
 	return r
 }
 
-// configure writes a configuration, as the operator does.
+// configure writes a configuration to the store, as the operator does.
 func (f *fleet) configure(version int, rules ...rule) {
 	value, err := json.Marshal(map[string]any{
 		"version": fmt.Sprintf("%08x", version), "routes": rules,
@@ -120,16 +121,16 @@
 	f.store.Put("op/config", value)
 }
 
-// start starts a gateway, anew with its old addresses when there was one of that name.
+// start starts a gateway; one that ran before under the same name keeps its addresses.
 func (f *fleet) start(name, domain string) *node {
 	n := f.hosts[name]
 	if n == nil {
 		n = &node{name: name}
-		n.front, n.inner, n.ready, n.directory = f.address(), f.address(), f.address(), f.address()
+		n.listen, n.inner, n.ready, n.directory = f.address(), f.address(), f.address(), f.address()
 		f.hosts[name] = n
 	}
 	s := settings.Default()
-	s.Host = settings.Host{Name: name, Domain: domain, Region: "home", Listen: n.front, Inner: n.inner, Ready: n.ready, Directory: n.directory}
+	s.Host = settings.Host{Name: name, Domain: domain, Region: "home", Listen: n.listen, Inner: n.inner, Ready: n.ready, Directory: n.directory}
 	s.Platform.Kind = "Native"
 	s.Limits.StopTimeout, s.Limits.AddressMaxAge = 6*time.Second, time.Second
 	if first := f.hosts["h0"]; first != nil && first != n {
@@ -137,27 +138,27 @@
 	}
 	dial := f.net.Dialer(name)
 	storeAddress := f.serve("store", "", f.store.For(name))
-	feed, closeFeed := platform.NewStore(platform.StoreConfig{URL: "http://" + storeAddress, Timeout: time.Second, Dial: dial})
-	g, closeHost := gateway.New(gateway.Config{
-		Settings: s, Dialect: platform.Dialect(), Store: feed, Logger: zerolog.Nop(), Dial: dial,
+	store, closeStore := platform.NewStore(platform.StoreConfig{URL: "http://" + storeAddress, Timeout: time.Second, Dial: dial})
+	g, closeGateway := gateway.New(gateway.Config{
+		Settings: s, Dialect: platform.Dialect(), Store: store, Logger: zerolog.Nop(), Dial: dial,
 		Listen: func(_, address string) (net.Listener, error) { return f.net.Listen(name, address), nil },
 	})
 	stop, cancelStop := context.WithCancel(context.Background())
 	force, cancelForce := context.WithCancel(context.Background())
 	n.gateway = g
 	n.stop, n.force, n.done = cancelStop, cancelForce, make(chan error, 1)
-	f.closers = append(f.closers, func() { closeHost(); closeFeed() })
+	f.cleanups = append(f.cleanups, func() { closeGateway(); closeStore() })
 	go func() { n.done <- g.Serve(stop, force) }()
 	return n
 }
 
 func (f *fleet) address() string {
-	f.last++
-	return fmt.Sprintf("10.5.%d.%d:80", f.last/250, f.last%250+1)
+	f.lastAddress++
+	return fmt.Sprintf("10.5.%d.%d:80", f.lastAddress/250, f.lastAddress%250+1)
 }
 
-// kill ends a gateway at once, as a crash does.
-func (f *fleet) kill(name string) {
+// crash ends a gateway at once and drops its connections.
+func (f *fleet) crash(name string) {
 	n := f.hosts[name]
 	f.net.Crash(name)
 	n.force()
@@ -174,12 +175,12 @@
 	return t
 }
 
-// register writes a target's entry.
+// register writes a target's entry to the store.
 func (f *fleet) register(t *standin.Target, state string) {
 	f.store.Put("servers/"+t.Name, t.Entry("stock", state))
 }
 
-// reply is what a caller got.
+// reply is the response to a call, or its error.
 type reply struct {
 	status int
 	header http.Header
@@ -193,7 +194,7 @@
 	started := time.Now()
 	transport := &http.Transport{DialContext: f.net.Dialer("caller"), DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
-	r, err := http.NewRequest(method, "http://"+f.hosts[host].front+path, nil)
+	r, err := http.NewRequest(method, "http://"+f.hosts[host].listen+path, nil)
 	f.is.NoErr(err)
 	r.Host = "www.example"
 	r.Header.Set("X-Attempt-Id", id)
@@ -209,7 +210,7 @@
 	return reply{response.StatusCode, response.Header, string(body), err, time.Since(started)}
 }
 
-// runsOf returns how often an attempt ran, on all targets.
+// runsOf returns how often the request with an attempt ID ran, on all targets together.
 func (f *fleet) runsOf(id string) int {
 	sum := 0
 	for _, t := range f.targets {
@@ -218,7 +219,7 @@
 	return sum
 }
 
-// arrivalsOf returns how many targets an attempt came to.
+// arrivalsOf returns how often the request with an attempt ID arrived at targets, including those that did not run it.
 func (f *fleet) arrivalsOf(id string) int {
 	sum := 0
 	for _, t := range f.targets {
@@ -227,9 +228,9 @@
 	return sum
 }
 
-// pipeline sends requests ahead on one connection and returns the answers' bodies in order.
+// pipeline sends pipelined requests on one connection and returns the attempt IDs in the response bodies, in order.
 func (f *fleet) pipeline(host string, ids ...string) []string {
-	conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts[host].front)
+	conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts[host].listen)
 	f.is.NoErr(err)
 	defer conn.Close()
 	go func() {
@@ -251,6 +252,6 @@
 
 // Faults of the store that tests switch on and off.
 var (
-	standinRefusal = standin.Faults{Status: 503}
-	standinHealthy = standin.Faults{}
+	storeUnavailable = standin.Faults{Status: 503}
+	storeHealthy     = standin.Faults{}
 )
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,7 +15,7 @@
 	"briarcroft/platform/standin"
 )
 
-// home returns the name of the host that is home to the service.
+// home returns the name of the service's primary home.
 func (f *fleet) home() string {
 	var members []host.Member
 	for name := range f.hosts {
@@ -24,8 +24,8 @@
 	return host.Rank("stock", members)[0].Name
 }
 
-// other returns a host that is not home to the service.
-func (f *fleet) other() string {
+// notHome returns the name of a host that is not the service's primary home.
+func (f *fleet) notHome() string {
 	for name := range f.hosts {
 		if name != f.home() {
 			return name
@@ -34,9 +34,10 @@
 	return ""
 }
 
-// TestEveryHostServes sends requests to every host: each gets its target's whole answer, whoever is home.
+// TestEveryHostServes sends requests to every host: each request runs once and gets the whole response of its target,
+// whichever host is the home.
 func TestEveryHostServes(t *testing.T) {
-	inFleet(t, 4, 4, func(f *fleet) {
+	withFleet(t, 4, 4, func(f *fleet) {
 		for name := range f.hosts {
 			for i := range 5 {
 				id := fmt.Sprintf("%s-%d", name, i)
@@ -51,17 +52,18 @@
 	})
 }
 
-// TestRoutes checks the answers where no rule matches.
+// TestRoutes checks that a request gets status 404 if no rule matches it.
 func TestRoutes(t *testing.T) {
-	inFleet(t, 1, 1, func(f *fleet) {
+	withFleet(t, 1, 1, func(f *fleet) {
 		f.is.Equal(f.call("h0", http.MethodGet, "/nowhere/1", "a").status, 404)
 		f.is.Equal(f.call("h0", http.MethodGet, "/lookup/1", "b").status, 200)
 	})
 }
 
-// TestAddresses asks the directory: hosts of the caller's failure domain come alone when there are enough of them.
+// TestAddresses requests addresses from the directory: it returns only hosts of the caller's failure domain when these
+// are enough.
 func TestAddresses(t *testing.T) {
-	inFleet(t, 9, 1, func(f *fleet) {
+	withFleet(t, 9, 1, func(f *fleet) {
 		transport := &http.Transport{DialContext: f.net.Dialer("caller")}
 		defer transport.CloseIdleConnections()
 		r, err := http.NewRequest(http.MethodGet, "http://"+f.hosts["h1"].directory+"/api/resolve?name=www.example&region=home&zone=b", nil)
@@ -79,9 +81,9 @@
 	})
 }
 
-// TestSentAheadIsAnsweredInOrder sends requests ahead: they run beside each other and are answered in order.
-func TestSentAheadIsAnsweredInOrder(t *testing.T) {
-	inFleet(t, 2, 4, func(f *fleet) {
+// TestPipelinedRequestsAnsweredInOrder sends pipelined requests: they run concurrently and are answered in order.
+func TestPipelinedRequestsAnsweredInOrder(t *testing.T) {
+	withFleet(t, 2, 4, func(f *fleet) {
 		f.call("h0", http.MethodGet, "/lookup/0", "warm")
 		started := time.Now()
 		ids := []string{"p0", "p1", "p2", "p3"}
@@ -90,7 +92,8 @@
 	})
 }
 
-// TestUnsafeRunsAtMostOnce breaks answers and sheds: an unsafe request runs once at most, and one that is refused never.
+// TestUnsafeRunsAtMostOnce lets most targets break connections, refuse requests or respond too late: an unsafe request
+// runs at most once, and one that is refused with status 503 never.
 func TestUnsafeRunsAtMostOnce(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -103,7 +106,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inFleet(t, 3, 4, func(f *fleet) {
+			withFleet(t, 3, 4, func(f *fleet) {
 				for _, name := range []string{"t0", "t1", "t2"} {
 					f.targets[name].Set(c.change)
 				}
@@ -122,8 +125,8 @@
 	}
 }
 
-// TestSafeIsTriedAgain breaks the answers of one target: no caller of a safe request notices. A rule allows two targets a
-// request, so that a second bad target may use up the attempts.
+// TestSafeIsTriedAgain lets one target break connections or refuse requests: every safe request still succeeds. Only
+// one target does so because the rule allows two attempts.
 func TestSafeIsTriedAgain(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -135,7 +138,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inFleet(t, 2, 4, func(f *fleet) {
+			withFleet(t, 2, 4, func(f *fleet) {
 				f.targets["t0"].Set(c.change)
 				for i := range 20 {
 					id := fmt.Sprintf("s%d", i)
@@ -149,10 +152,10 @@
 	}
 }
 
-// TestRepeatsStayWithinBudget lets every target shed, through all hosts: no request reaches more targets than its rule
-// allows, and the repeats of all hosts together stay within the service's budget.
+// TestRepeatsStayWithinBudget lets every target refuse requests without running them: no request is sent to more
+// targets than its rule allows, and the retries of all hosts together stay within the service's retry budget.
 func TestRepeatsStayWithinBudget(t *testing.T) {
-	inFleet(t, 4, 6, func(f *fleet) {
+	withFleet(t, 4, 6, func(f *fleet) {
 		for _, x := range f.targets {
 			x.Set(func(t *standin.Target) { t.Shed = true })
 		}
@@ -172,20 +175,20 @@
 	})
 }
 
-// TestConfigurationInForce writes configurations while hosts that follow the store are turned away by it: every host
-// follows the new rules within 2 s and never goes back.
+// TestConfigurationInForce writes configurations while the store refuses one host after the other: every host applies
+// each configuration within 2 s, and none applies an older one that is written later.
 func TestConfigurationInForce(t *testing.T) {
-	inFleet(t, 5, 2, func(f *fleet) {
+	withFleet(t, 5, 2, func(f *fleet) {
 		for version := 2; version <= 6; version++ {
-			turned := fmt.Sprintf("h%d", version%5)
-			f.store.SetFaults(turned, standinRefusal)
+			rejected := fmt.Sprintf("h%d", version%5)
+			f.store.SetFaults(rejected, storeUnavailable)
 			path := fmt.Sprintf("/v%d/", version)
 			f.configure(version, safeRule("lookup", "/lookup/"), safeRule("new", path))
 			time.Sleep(2 * time.Second)
 			for name := range f.hosts {
 				f.is.Equal(f.call(name, http.MethodGet, path+"1", fmt.Sprintf("c%d-%s", version, name)).status, 200)
 			}
-			f.store.SetFaults(turned, standinHealthy)
+			f.store.SetFaults(rejected, storeHealthy)
 		}
 		f.configure(3, safeRule("lookup", "/lookup/"))
 		time.Sleep(2 * time.Second)
@@ -193,10 +196,10 @@
 	})
 }
 
-// TestCutOffFromWatchers cuts one host off from the store and from all hosts but one, which hears of changes from the watchers:
-// a configuration must come into force on the host that is cut off too.
+// TestCutOffFromWatchers isolates one host from the store and from all hosts but one, which is not a watcher itself: the
+// isolated host must apply a new configuration too.
 func TestCutOffFromWatchers(t *testing.T) {
-	inFleet(t, 6, 2, func(f *fleet) {
+	withFleet(t, 6, 2, func(f *fleet) {
 		watcher := map[string]bool{}
 		var members []host.Member
 		for i := range 6 {
@@ -211,23 +214,24 @@
 				others = append(others, m.Name)
 			}
 		}
-		alone, friend := others[0], others[1]
-		f.net.Part(alone, "store")
+		isolated, neighbour := others[0], others[1]
+		f.net.Part(isolated, "store")
 		for _, m := range members {
-			if m.Name != alone && m.Name != friend {
-				f.net.Part(alone, m.Name)
+			if m.Name != isolated && m.Name != neighbour {
+				f.net.Part(isolated, m.Name)
 			}
 		}
 		time.Sleep(time.Second)
 		f.configure(2, safeRule("lookup", "/lookup/"), safeRule("new", "/new/"))
-		time.Sleep(inForceBound)
-		f.is.Equal(f.call(alone, http.MethodGet, "/new/1", "cut-off").status, 200)
+		time.Sleep(inForceTimeLimit)
+		f.is.Equal(f.call(isolated, http.MethodGet, "/new/1", "cut-off").status, 200)
 	})
 }
 
-// TestHistoryForgotten drops the store's history while a configuration changes.
-func TestHistoryForgotten(t *testing.T) {
-	inFleet(t, 3, 2, func(f *fleet) {
+// TestStoreHistoryCompacted compacts the store's history right after a configuration was written: every host still
+// applies it.
+func TestStoreHistoryCompacted(t *testing.T) {
+	withFleet(t, 3, 2, func(f *fleet) {
 		f.configure(2, safeRule("lookup", "/lookup/"), safeRule("new", "/new/"))
 		f.store.Compact()
 		time.Sleep(2 * time.Second)
@@ -237,9 +241,10 @@
 	})
 }
 
-// TestLeavingTargetGetsNothing reports one target as draining and removes another's entry.
+// TestLeavingTargetGetsNothing registers one target as draining and removes the entry of another: neither gets a request
+// later than a second after that, and all requests succeed.
 func TestLeavingTargetGetsNothing(t *testing.T) {
-	inFleet(t, 3, 4, func(f *fleet) {
+	withFleet(t, 3, 4, func(f *fleet) {
 		f.register(f.targets["t0"], "draining")
 		f.store.Delete("servers/t1")
 		left := time.Now()
@@ -253,16 +258,16 @@
 	})
 }
 
-// TestLapsedEntriesStay takes entries away while the store is down: their targets serve on, and those that do not
-// register again within 2 s of the store's return are gone.
+// TestLapsedEntriesStay removes the entries of targets while the store is unreachable: the targets stay in use, and after
+// the store's return those that do not register again within 2 s get no requests.
 func TestLapsedEntriesStay(t *testing.T) {
-	inFleet(t, 3, 2, func(f *fleet) {
-		f.store.SetFaults("", standinRefusal)
+	withFleet(t, 3, 2, func(f *fleet) {
+		f.store.SetFaults("", storeUnavailable)
 		time.Sleep(3 * time.Second)
 		f.store.Delete("servers/t0")
 		f.store.Delete("servers/t1")
 		f.is.Equal(f.call("h0", http.MethodGet, "/lookup/1", "down").status, 200)
-		f.store.SetFaults("", standinHealthy)
+		f.store.SetFaults("", storeHealthy)
 		time.Sleep(1200 * time.Millisecond)
 		f.is.Equal(f.call("h1", http.MethodGet, "/lookup/1", "back").status, 200)
 		f.register(f.targets["t1"], "ready")
@@ -274,9 +279,10 @@
 	})
 }
 
-// TestUnreadableEntryHarmsNone writes entries that can't be used beside good ones.
-func TestUnreadableEntryHarmsNone(t *testing.T) {
-	inFleet(t, 2, 2, func(f *fleet) {
+// TestUnreadableEntriesIgnored writes invalid entries of targets and an invalid configuration: the valid ones stay in
+// use.
+func TestUnreadableEntriesIgnored(t *testing.T) {
+	withFleet(t, 2, 2, func(f *fleet) {
 		for i, value := range []string{"\xff\x00", "{}", `{"service":7}`, `{"service":"stock","address":"10.9.9.9:1","slots":3,"state":"odd"}`} {
 			f.store.Put(fmt.Sprintf("servers/bad%d", i), []byte(value))
 		}
@@ -288,13 +294,14 @@
 	})
 }
 
-// TestHomeLost kills and silences the service's home while requests come: all are answered.
+// TestHomeLost kills the service's primary home, or partitions the network around it, while requests are sent through
+// another host: all succeed within the latency goal.
 func TestHomeLost(t *testing.T) {
 	cases := []struct {
-		name string
-		lose func(f *fleet, home string)
+		name    string
+		isolate func(f *fleet, home string)
 	}{
-		{"killed", func(f *fleet, home string) { f.kill(home) }},
+		{"killed", func(f *fleet, home string) { f.crash(home) }},
 		{"silent", func(f *fleet, home string) {
 			for name := range f.hosts {
 				f.net.Part(name, home)
@@ -313,15 +320,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inFleet(t, 4, 4, func(f *fleet) {
-				home, caller := f.home(), f.other()
+			withFleet(t, 4, 4, func(f *fleet) {
+				home, caller := f.home(), f.notHome()
 				f.call(caller, http.MethodGet, "/lookup/1", "before")
-				var worst time.Duration
+				var slowest time.Duration
 				var mu sync.Mutex
 				var group sync.WaitGroup
 				for i := range 40 {
 					if i == 10 {
-						c.lose(f, home)
+						c.isolate(f, home)
 					}
 					group.Go(func() {
 						r := f.call(caller, http.MethodGet, "/lookup/1", fmt.Sprintf("k%d", i))
@@ -329,21 +336,21 @@
 						f.is.Equal(r.status, 200)
 						mu.Lock()
 						defer mu.Unlock()
-						worst = max(worst, r.took)
+						slowest = max(slowest, r.took)
 					})
 					time.Sleep(25 * time.Millisecond)
 				}
 				group.Wait()
-				t.Logf("slowest answer %v", worst)
-				f.is.True(worst < 400*time.Millisecond) // the goal holds through the loss
+				t.Logf("slowest answer %v", slowest)
+				f.is.True(slowest < 400*time.Millisecond) // the latency goal of the rule
 			})
 		})
 	}
 }
 
-// TestGracefulStopCutsNothing stops each host in turn while callers go on.
+// TestGracefulStopCutsNothing stops each host in turn while requests are sent to it: all of them succeed.
 func TestGracefulStopCutsNothing(t *testing.T) {
-	inFleet(t, 3, 3, func(f *fleet) {
+	withFleet(t, 3, 3, func(f *fleet) {
 		f.targets["t0"].Set(func(t *standin.Target) { t.Work = 300 * time.Millisecond })
 		for name := range f.hosts {
 			var group sync.WaitGroup
@@ -365,14 +372,15 @@
 	})
 }
 
-// TestCallerLeaves closes a caller's connection: a safe run ends within half a second, an unsafe one goes on.
+// TestCallerLeaves closes a caller's connection: the run of a safe request is cancelled within half a second, that of an
+// unsafe one continues.
 func TestCallerLeaves(t *testing.T) {
-	inFleet(t, 2, 2, func(f *fleet) {
+	withFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
 			x.Set(func(t *standin.Target) { t.Work = 900 * time.Millisecond })
 		}
 		for _, path := range []string{"GET /lookup/1", "POST /order/1"} {
-			conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts["h0"].front)
+			conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts["h0"].listen)
 			f.is.NoErr(err)
 			_, err = fmt.Fprintf(conn, "%s HTTP/1.1\r\nHost: www.example\r\nX-Attempt-Id: x\r\nX-Deadline-Ms: 2000\r\nContent-Length: 0\r\n\r\n", path)
 			f.is.NoErr(err)
@@ -390,33 +398,33 @@
 	})
 }
 
-// TestStartWithoutStore starts hosts while the store is down: one finds the configuration at its peers, and one that
-// knows no peers says that it isn't ready.
+// TestStartWithoutStore starts hosts while the store is unreachable: a host that knows peers gets the configuration from
+// them, and one without peers refuses requests with a Retry-After until the store returns.
 func TestStartWithoutStore(t *testing.T) {
-	inFleet(t, 3, 2, func(f *fleet) {
-		f.store.SetFaults("", standinRefusal)
+	withFleet(t, 3, 2, func(f *fleet) {
+		f.store.SetFaults("", storeUnavailable)
 		time.Sleep(2 * time.Second)
-		f.kill("h2")
+		f.crash("h2")
 		f.start("h2", "c")
 		time.Sleep(4 * time.Second)
 		f.is.Equal(f.call("h2", http.MethodGet, "/lookup/1", "peer").status, 200)
 		for _, name := range []string{"h0", "h1", "h2"} {
-			f.kill(name)
+			f.crash(name)
 		}
 		f.start("h0", "a")
 		time.Sleep(2 * time.Second)
 		r := f.call("h0", http.MethodGet, "/lookup/1", "alone")
 		f.is.Equal(r.status, 503)
 		f.is.True(r.header.Get("Retry-After") != "")
-		f.store.SetFaults("", standinHealthy)
+		f.store.SetFaults("", storeHealthy)
 		time.Sleep(2 * time.Second)
 		f.is.Equal(f.call("h0", http.MethodGet, "/lookup/1", "again").status, 200)
 	})
 }
 
-// TestRejections checks what is no proper request.
+// TestRejections checks the status of responses to malformed and oversized requests.
 func TestRejections(t *testing.T) {
-	inFleet(t, 1, 1, func(f *fleet) {
+	withFleet(t, 1, 1, func(f *fleet) {
 		cases := []struct {
 			name, text string
 			status     int
@@ -427,7 +435,7 @@
 			{"long body", "POST /order/1 HTTP/1.1\r\nHost: www.example\r\nContent-Length: 99999999\r\n\r\n", 413},
 		}
 		for _, c := range cases {
-			conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts["h0"].front)
+			conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts["h0"].listen)
 			f.is.NoErr(err)
 			go func() { _, _ = io.WriteString(conn, c.text) }()
 			line := make([]byte, 12)
@@ -439,43 +447,43 @@
 	})
 }
 
-// TestStoreCalls bounds the calls to the store of a calm fleet: a few hosts follow it for all.
+// TestStoreCalls bounds the calls to the store while nothing changes: only one host of each failure domain follows it.
 func TestStoreCalls(t *testing.T) {
-	inFleet(t, 9, 4, func(f *fleet) {
-		time.Sleep(4 * time.Second) // the watchers have left their addresses in the store
+	withFleet(t, 9, 4, func(f *fleet) {
+		time.Sleep(4 * time.Second) // until the watchers have registered their addresses
 		before := f.store.Calls()
 		time.Sleep(30 * time.Second)
 		t.Logf("%d calls in 30 s", f.store.Calls()-before)
-		f.is.True(f.store.Calls()-before <= 3*(30*2/3+2)) // one watch in 1.5 s for each failure domain
+		f.is.True(f.store.Calls()-before <= 3*(30*2/3+2)) // one call in 1.5 s for each failure domain
 	})
 }
 
-// TestFleetFindsItself ends a hundred hosts at once and starts them again: they agree on the service's home within half a
-// second, before callers notice, and every host knows all others within two.
-func TestFleetFindsItself(t *testing.T) {
+// TestFleetRestartConverges kills a hundred hosts at once and starts them again: within 0.5 s they agree on the primary
+// home of the service, which is before callers notice, and within 2 s every host knows all others.
+func TestFleetRestartConverges(t *testing.T) {
 	const hosts = 100
-	inFleet(t, hosts, 4, func(f *fleet) {
+	withFleet(t, hosts, 4, func(f *fleet) {
 		for name := range f.hosts {
-			f.kill(name)
+			f.crash(name)
 		}
 		time.Sleep(time.Second)
 		for i := range hosts {
 			f.start(fmt.Sprintf("h%d", i), domainOf(i))
 		}
-		look := func() (fewest int, homes map[string]bool) {
+		survey := func() (fewest int, homes map[string]bool) {
 			fewest, homes = hosts, map[string]bool{}
 			for _, n := range f.hosts {
-				live, home := n.gateway.Live("stock")
+				live, home := n.gateway.ReadyHosts("stock")
 				fewest = min(fewest, live)
 				homes[home] = true
 			}
 			return fewest, homes
 		}
 		time.Sleep(500 * time.Millisecond)
-		_, homes := look()
+		_, homes := survey()
 		f.is.Equal(len(homes), 1)
 		time.Sleep(1500 * time.Millisecond)
-		fewest, _ := look()
+		fewest, _ := survey()
 		f.is.Equal(fewest, hosts)
 	})
 }
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -13,58 +13,58 @@
 	"pgregory.net/rapid"
 )
 
-// Bounds of the promises, from the users' targets.
+// Time limits of the promises, from the requirements of the platform.
 const (
-	// callTimeLimit is the rule's time limit; an answer may take the caller's and the host's travel longer.
-	callTimeLimit = time.Second
-	callSlack     = 100 * time.Millisecond
-	drainBound    = 2500 * time.Millisecond
-	inForceBound  = 2500 * time.Millisecond
-	// registerDelay is how long after the last fault everything must be in order again.
-	registerDelay = 6 * time.Second
-	planLength    = 8 * time.Second
+	// callTimeLimit is the deadline of the rules; callTimeSlack is added for the network between caller and host.
+	callTimeLimit    = time.Second
+	callTimeSlack    = 100 * time.Millisecond
+	drainTimeLimit   = 2500 * time.Millisecond
+	inForceTimeLimit = 2500 * time.Millisecond
+	// recoveryTime is how long after the last fault every host must serve the newest configuration again.
+	recoveryTime = 6 * time.Second
+	scenarioTime = 8 * time.Second
 )
 
-// fault is one trouble of a plan.
+// fault is one fault of a scenario. It affects the host or target at Index, modulo their number, for Duration from Start.
 type fault struct {
-	Kind      string
-	Who       int
-	From, For time.Duration
+	Kind            string
+	Index           int
+	Start, Duration time.Duration
 }
 
-// plan is a fleet and what befalls it.
-type plan struct {
+// scenario is the size of a fleet, the seed of its requests, and the faults to inject.
+type scenario struct {
 	Hosts, Targets int
 	Seed           uint64
 	Faults         []fault
 }
 
-// Kinds of fault, by what they strike.
+// Kinds of fault, by what they affect.
 var (
 	hostFaults   = []string{"HostKilled", "HostStopped", "HostsParted", "HostsSilentOneWay"}
 	targetFaults = []string{"TargetLosesAnswers", "TargetCutsAnswers", "TargetSheds", "TargetSlow", "TargetLeaves"}
 	storeFaults  = []string{"StoreRefuses", "StoreSilent", "StoreSlow", "StoreForgetsHistory", "StoreRefusesOne"}
 )
 
-// plans draws fleets of a few hosts and targets with up to six faults that overlap.
-func plans() *rapid.Generator[plan] {
-	return rapid.Custom(func(t *rapid.T) plan {
+// scenarios generates fleets of a few hosts and targets with up to six faults, which may overlap.
+func scenarios() *rapid.Generator[scenario] {
+	return rapid.Custom(func(t *rapid.T) scenario {
 		kinds := append(append(append([]string{}, hostFaults...), targetFaults...), storeFaults...)
-		p := plan{Hosts: rapid.IntRange(2, 5).Draw(t, "hosts"), Targets: rapid.IntRange(3, 5).Draw(t, "targets"), Seed: rapid.Uint64().Draw(t, "seed")}
+		s := scenario{Hosts: rapid.IntRange(2, 5).Draw(t, "hosts"), Targets: rapid.IntRange(3, 5).Draw(t, "targets"), Seed: rapid.Uint64().Draw(t, "seed")}
 		for range rapid.IntRange(0, 6).Draw(t, "faults") {
-			p.Faults = append(p.Faults, fault{
-				Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Who: rapid.IntRange(0, 4).Draw(t, "who"),
-				From: time.Duration(rapid.IntRange(0, 5000).Draw(t, "from")) * time.Millisecond,
-				For:  time.Duration(rapid.IntRange(200, 3000).Draw(t, "for")) * time.Millisecond,
+			s.Faults = append(s.Faults, fault{
+				Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Index: rapid.IntRange(0, 4).Draw(t, "index"),
+				Start:    time.Duration(rapid.IntRange(0, 5000).Draw(t, "start")) * time.Millisecond,
+				Duration: time.Duration(rapid.IntRange(200, 3000).Draw(t, "duration")) * time.Millisecond,
 			})
 		}
-		return p
+		return s
 	})
 }
 
-// has reports whether the plan holds a fault of one of the kinds.
-func (p plan) has(kinds ...string) bool {
-	for _, f := range p.Faults {
+// has reports whether the scenario has a fault of one of the kinds.
+func (s scenario) has(kinds ...string) bool {
+	for _, f := range s.Faults {
 		for _, kind := range kinds {
 			if f.Kind == kind {
 				return true
@@ -74,194 +74,199 @@
 	return false
 }
 
-// trial plays a plan against a fleet and notes each broken promise.
-type trial struct {
+// scenarioRun runs a scenario against a fleet and collects violations of the promises.
+type scenarioRun struct {
 	*fleet
-	plan plan
-	mu   sync.Mutex
-	// down holds the hosts that are stopped or gone, and deaths counts how often each was killed.
-	down   map[string]bool
-	deaths map[string]int
-	// seen is the newest configuration that each incarnation of a host has served.
-	seen     map[string]int
-	version  int
-	number   int
-	violated []string
+	scenario scenario
+	mu       sync.Mutex
+	// down holds the hosts that are not running or have just been started.
+	down map[string]bool
+	// restarts counts how often each host was killed or stopped, to tell its incarnations apart.
+	restarts map[string]int
+	// newestServed is the newest configuration that each incarnation of a host has served.
+	newestServed map[string]int
+	// version is the newest configuration that was written.
+	version     int
+	lastRequest int
+	violations  []string
 }
 
-// TestPromisesUnderFaults plays drawn plans: at most one run of unsafe requests, none of refused ones, whole answers to their
-// own request, answers by the time limit, graceful stops that cut nothing, nothing new for leaving targets, configurations that
-// never go back and come in force, and service again soon after the last fault.
+// TestPromisesUnderFaults checks what the load balancer promises under generated combinations of faults: an unsafe
+// request runs at most once, a refused one never; responses are complete, belong to their request and arrive by the
+// deadline; a graceful stop interrupts no request; a draining target gets no new requests; a configuration takes effect
+// in time and is never replaced by an older one; and all hosts serve requests again soon after the last fault.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		p := plans().Draw(rt, "plan")
-		var violated []string
-		inFleet(t, p.Hosts, p.Targets, func(f *fleet) {
-			x := &trial{fleet: f, plan: p, down: map[string]bool{}, deaths: map[string]int{}, seen: map[string]int{}, version: 1}
-			x.play()
-			violated = x.violated
+		s := scenarios().Draw(rt, "scenario")
+		var violations []string
+		withFleet(t, s.Hosts, s.Targets, func(f *fleet) {
+			r := &scenarioRun{fleet: f, scenario: s, down: map[string]bool{}, restarts: map[string]int{}, newestServed: map[string]int{}, version: 1}
+			r.run()
+			violations = r.violations
 		})
-		if len(violated) > 0 {
-			rt.Fatalf("%d promises broken: %v", len(violated), violated)
+		if len(violations) > 0 {
+			rt.Fatalf("%d violations of the promises: %v", len(violations), violations)
 		}
 	})
 }
 
-func (x *trial) violate(format string, arguments ...any) {
+func (x *scenarioRun) reportViolation(format string, arguments ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.violated = append(x.violated, fmt.Sprintf(format, arguments...))
+	x.violations = append(x.violations, fmt.Sprintf(format, arguments...))
 }
 
-func (x *trial) play() {
+// run sends requests while the faults are injected, and at the end checks that all hosts have recovered.
+func (x *scenarioRun) run() {
 	var group sync.WaitGroup
-	for _, f := range x.plan.Faults {
+	for _, f := range x.scenario.Faults {
 		group.Go(func() {
-			time.Sleep(f.From)
-			x.strike(f)
+			time.Sleep(f.Start)
+			x.inject(f)
 		})
 	}
-	group.Go(x.publish)
-	random := rand.New(rand.NewPCG(x.plan.Seed, 1))
-	for began := time.Now(); time.Since(began) < planLength; {
-		host, once := fmt.Sprintf("h%d", random.IntN(x.plan.Hosts)), random.IntN(2) == 0
-		group.Go(func() { x.request(host, once) })
+	group.Go(x.publishConfigurations)
+	random := rand.New(rand.NewPCG(x.scenario.Seed, 1))
+	for began := time.Now(); time.Since(began) < scenarioTime; {
+		host, unsafe := fmt.Sprintf("h%d", random.IntN(x.scenario.Hosts)), random.IntN(2) == 0
+		group.Go(func() { x.sendRequest(host, unsafe) })
 		time.Sleep(time.Duration(20+random.IntN(60)) * time.Millisecond)
 	}
 	group.Wait()
-	time.Sleep(registerDelay)
-	for i := range x.plan.Hosts {
+	time.Sleep(recoveryTime)
+	for i := range x.scenario.Hosts {
 		host := fmt.Sprintf("h%d", i)
 		if r := x.call(host, http.MethodGet, "/lookup/1", "after-"+host); r.err != nil || r.status != 200 {
-			x.violate("%s does not serve after the faults: status %d, error %v", host, r.status, r.err)
+			x.reportViolation("%s does not serve after the faults: status %d, error %v", host, r.status, r.err)
 		}
 		if r := x.call(host, http.MethodGet, fmt.Sprintf("/v%d/1", x.version), "newest-"+host); r.status != 200 {
-			x.violate("%s does not serve the newest configuration after the faults: status %d", host, r.status)
+			x.reportViolation("%s does not serve the newest configuration after the faults: status %d", host, r.status)
 		}
 	}
 }
 
-// publish writes configurations, each with one more rule, while the plan is played.
-func (x *trial) publish() {
+// publishConfigurations writes configurations, each with one more rule, during the scenario. Without faults of the
+// store or of hosts, each must take effect on all hosts within inForceTimeLimit.
+func (x *scenarioRun) publishConfigurations() {
 	rules := []rule{safeRule("lookup", "/lookup/"), unsafeRule("order", "/order/")}
 	for version := 2; version <= 5; version++ {
-		time.Sleep(planLength / 6)
+		time.Sleep(scenarioTime / 6)
 		rules = append(rules, safeRule(fmt.Sprintf("v%d", version), fmt.Sprintf("/v%d/", version)))
 		x.configure(version, rules...)
 		x.mu.Lock()
 		x.version = version
 		x.mu.Unlock()
-		if x.plan.has(storeFaults...) || x.plan.has(hostFaults...) {
+		if x.scenario.has(storeFaults...) || x.scenario.has(hostFaults...) {
 			continue
 		}
-		time.Sleep(inForceBound)
-		for i := range x.plan.Hosts {
-			x.look(fmt.Sprintf("h%d", i), version)
+		time.Sleep(inForceTimeLimit)
+		for i := range x.scenario.Hosts {
+			x.checkConfiguration(fmt.Sprintf("h%d", i), version)
 		}
 	}
 }
 
-// look checks that a host serves a configuration.
-func (x *trial) look(host string, version int) {
+// checkConfiguration checks that a host has put a configuration in force, by the rule that it adds.
+func (x *scenarioRun) checkConfiguration(host string, version int) {
 	if r := x.call(host, http.MethodGet, fmt.Sprintf("/v%d/1", version), fmt.Sprintf("look-%d-%s", version, host)); r.status == 404 {
-		x.violate("%s does not serve configuration %d in time", host, version)
+		x.reportViolation("%s does not serve configuration %d in time", host, version)
 	}
 }
 
-// request sends one request through a host and checks what came of it.
-func (x *trial) request(host string, once bool) {
+// sendRequest sends one request through a host and checks the reply, unless the host was killed or stopped meanwhile.
+func (x *scenarioRun) sendRequest(host string, unsafe bool) {
 	x.mu.Lock()
-	x.number++
-	id, version, deaths, down := fmt.Sprintf("q%d", x.number), x.version, x.deaths[host], x.down[host]
+	x.lastRequest++
+	id, version, restarts, down := fmt.Sprintf("q%d", x.lastRequest), x.version, x.restarts[host], x.down[host]
 	x.mu.Unlock()
 	if down {
 		return
 	}
 	method, path := http.MethodGet, "/lookup/1"
-	if once {
+	if unsafe {
 		method, path = http.MethodPost, "/order/1"
 	}
 	r := x.call(host, method, path, id)
 	x.mu.Lock()
-	killed := x.deaths[host] != deaths
+	restarted := x.restarts[host] != restarts
 	x.mu.Unlock()
-	if killed {
+	if restarted {
 		return
 	}
-	x.judge(host, id, once, r)
-	x.notBack(host, version, deaths)
+	x.checkReply(host, id, unsafe, r)
+	x.checkNoRollback(host, version, restarts)
 }
 
-// judge holds one answer against the promises.
-func (x *trial) judge(host, id string, once bool, r reply) {
+// checkReply checks the promises about a single request.
+func (x *scenarioRun) checkReply(host, id string, unsafe bool, r reply) {
 	runs := x.runsOf(id)
 	switch {
 	case r.err != nil:
-		x.violate("%s cut %s: %v", host, id, r.err)
-	case r.took > callTimeLimit+callSlack:
-		x.violate("%s answered %s after %v", host, id, r.took)
-	case once && runs > 1:
-		x.violate("unsafe request %s ran %d times", id, runs)
+		x.reportViolation("%s did not answer %s completely: %v", host, id, r.err)
+	case r.took > callTimeLimit+callTimeSlack:
+		x.reportViolation("%s answered %s after its deadline, in %v", host, id, r.took)
+	case unsafe && runs > 1:
+		x.reportViolation("unsafe request %s ran %d times", id, runs)
 	case r.status == 503 && runs > 0:
-		x.violate("request %s was refused as not run and ran %d times", id, runs)
+		x.reportViolation("request %s was refused as not run but ran %d times", id, runs)
 	case r.status == 404:
-		x.violate("%s denied %s, which every configuration allows", host, id)
+		x.reportViolation("%s answered %s with status 404 although every configuration has its rule", host, id)
 	case r.status == 200 && (r.body != "answer to "+id || r.header.Get("X-Response-Seal") != "seal."+id):
-		x.violate("%s answered %s with %q", host, id, r.body)
+		x.reportViolation("%s answered %s with the wrong body %q or seal", host, id, r.body)
 	}
 }
 
-// notBack checks that one incarnation of a host serves no older configuration than before.
-func (x *trial) notBack(host string, version, deaths int) {
+// checkNoRollback checks that a host does not return to an older configuration while it is running.
+func (x *scenarioRun) checkNoRollback(host string, version, restarts int) {
 	if version < 2 {
 		return
 	}
 	r := x.call(host, http.MethodGet, fmt.Sprintf("/v%d/1", version), fmt.Sprintf("back-%s-%d-%d", host, version, rand.Uint32()))
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	incarnation := fmt.Sprintf("%s/%d", host, deaths)
+	incarnation := fmt.Sprintf("%s/%d", host, restarts)
 	switch {
-	case x.deaths[host] != deaths || x.down[host] || r.err != nil:
+	case x.restarts[host] != restarts || x.down[host] || r.err != nil:
 	case r.status == 200:
-		x.seen[incarnation] = max(x.seen[incarnation], version)
-	case r.status == 404 && x.seen[incarnation] >= version:
-		x.violated = append(x.violated, fmt.Sprintf("%s went back from configuration %d", host, version))
+		x.newestServed[incarnation] = max(x.newestServed[incarnation], version)
+	case r.status == 404 && x.newestServed[incarnation] >= version:
+		x.violations = append(x.violations, fmt.Sprintf("%s no longer serves configuration %d, which it has served before", host, version))
 	}
 }
 
-// strike brings a fault about and ends it.
-func (x *trial) strike(f fault) {
-	host, peer := fmt.Sprintf("h%d", f.Who%x.plan.Hosts), fmt.Sprintf("h%d", (f.Who+1)%x.plan.Hosts)
-	server := x.targets[fmt.Sprintf("t%d", f.Who%x.plan.Targets)]
+// inject injects a fault and, for most kinds, ends it after its duration.
+func (x *scenarioRun) inject(f fault) {
+	host, peer := fmt.Sprintf("h%d", f.Index%x.scenario.Hosts), fmt.Sprintf("h%d", (f.Index+1)%x.scenario.Hosts)
+	server := x.targets[fmt.Sprintf("t%d", f.Index%x.scenario.Targets)]
 	switch f.Kind {
 	case "HostKilled", "HostStopped":
-		x.replace(f, host)
+		x.restartHost(f, host)
 	case "HostsParted":
 		x.net.Part(host, peer)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		x.net.Heal(host, peer)
 	case "HostsSilentOneWay":
 		x.net.SilenceOneWay(host, peer)
 	case "TargetLeaves":
-		x.leave(f, server)
+		x.drainTarget(f, server)
 	case "StoreForgetsHistory":
 		x.store.Compact()
 	default:
-		x.disturb(f, host, server)
+		x.injectTemporary(f, host, server)
 	}
 }
 
-// disturb makes a target or the store misbehave for a while.
-func (x *trial) disturb(f fault, host string, server *standin.Target) {
+// injectTemporary makes a target or the store misbehave for the duration of a fault.
+func (x *scenarioRun) injectTemporary(f fault, host string, server *standin.Target) {
 	faults := map[string]standin.Faults{
 		"StoreRefuses": {Status: 503}, "StoreRefusesOne": {Status: 503}, "StoreSilent": {Silent: true}, "StoreSlow": {Delay: 700 * time.Millisecond},
 	}
-	if trouble, found := faults[f.Kind]; found {
+	if temporary, found := faults[f.Kind]; found {
 		if f.Kind != "StoreRefusesOne" {
 			host = ""
 		}
-		x.store.SetFaults(host, trouble)
-		time.Sleep(f.For)
+		x.store.SetFaults(host, temporary)
+		time.Sleep(f.Duration)
 		x.store.SetFaults(host, standin.Faults{})
 		return
 	}
@@ -283,12 +288,12 @@
 		})
 	}
 	change(true)
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	change(false)
 }
 
-// replace ends a host, by a crash or a graceful stop, and starts it again.
-func (x *trial) replace(f fault, host string) {
+// restartHost ends a host, by a crash or a graceful stop, and starts it again after the duration of the fault.
+func (x *scenarioRun) restartHost(f fault, host string) {
 	x.mu.Lock()
 	if x.down[host] {
 		x.mu.Unlock()
@@ -296,19 +301,19 @@
 	}
 	x.down[host] = true
 	if f.Kind == "HostKilled" {
-		x.deaths[host]++
+		x.restarts[host]++
 	}
 	x.mu.Unlock()
 	if f.Kind == "HostKilled" {
-		x.kill(host)
+		x.crash(host)
 	} else {
 		x.hosts[host].stop()
 		<-x.hosts[host].done
 		x.mu.Lock()
-		x.deaths[host]++ // an incarnation of its own follows; nothing of this one is under way any more
+		x.restarts[host]++ // only now, because a graceful stop must still complete the requests in flight
 		x.mu.Unlock()
 	}
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	x.start(host, "a")
 	time.Sleep(time.Second)
 	x.mu.Lock()
@@ -316,27 +321,28 @@
 	x.down[host] = false
 }
 
-// leave makes a target leave, and return when the others may have noticed.
-func (x *trial) leave(f fault, server *standin.Target) {
+// drainTarget registers a target as draining and checks that it gets no request later than drainTimeLimit after that.
+// Then the target registers as ready again. Faults of the store or of hosts may delay the change, so the check is skipped with them.
+func (x *scenarioRun) drainTarget(f fault, server *standin.Target) {
 	x.register(server, "draining")
-	time.Sleep(drainBound)
+	time.Sleep(drainTimeLimit)
 	from := time.Now()
-	time.Sleep(f.For)
-	if !x.plan.has(storeFaults...) && !x.plan.has(hostFaults...) && !x.againLeft(f) {
+	time.Sleep(f.Duration)
+	if !x.scenario.has(storeFaults...) && !x.scenario.has(hostFaults...) && !x.drainedAgain(f) {
 		server.Set(func(t *standin.Target) {
 			if t.Last.After(from) {
-				x.violate("%s got new work %v after it began to leave", t.Name, drainBound+t.Last.Sub(from))
+				x.reportViolation("%s received a request %v after it began to drain", t.Name, drainTimeLimit+t.Last.Sub(from))
 			}
 		})
 	}
 	x.register(server, "ready")
 }
 
-// againLeft reports whether another fault of the plan makes the same target leave, and come back in between.
-func (x *trial) againLeft(f fault) bool {
+// drainedAgain reports whether another fault of the scenario drains the same target, so that it may be ready in between.
+func (x *scenarioRun) drainedAgain(f fault) bool {
 	same := 0
-	for _, other := range x.plan.Faults {
-		if other.Kind == f.Kind && other.Who%x.plan.Targets == f.Who%x.plan.Targets {
+	for _, other := range x.scenario.Faults {
+		if other.Kind == f.Kind && other.Index%x.scenario.Targets == f.Index%x.scenario.Targets {
 			same++
 		}
 	}
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -14,7 +14,8 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// TestShares divides requests by weight: after any number of them no service is off by more than one for each service.
+// TestShares divides requests by weight: after any number of requests, the count of each service differs from its exact
+// share by at most the number of services.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := note.Rule{Name: "r"}
@@ -31,17 +32,17 @@
 			for _, share := range rule.Shares {
 				want := float64(n) * float64(share.Weight) / float64(total)
 				if math.Abs(float64(counts[share.Service])-want) > float64(len(rule.Shares)) {
-					t.Fatalf("%s got %d of %d, want %.1f", share.Service, counts[share.Service], n, want)
+					t.Fatalf("service %s got %d of %d requests, want %.1f", share.Service, counts[share.Service], n, want)
 				}
 			}
 		}
 	})
 }
 
-// TestMatch takes the longest path of the request's host.
+// TestMatch checks that the rule with the longest matching path of the request's host is chosen, with or without a port.
 func TestMatch(t *testing.T) {
 	is := is.New(t)
-	x := newRuleIndex(note.Configuration{Rules: []note.Rule{
+	index := newRuleIndex(note.Configuration{Rules: []note.Rule{
 		{Name: "short", Host: "h", Path: "/a/"}, {Name: "long", Host: "h", Path: "/a/b/"}, {Name: "other", Host: "i", Path: "/a/"},
 	}})
 	cases := []struct {
@@ -51,7 +52,7 @@
 		{"h", "/b/", ""}, {"j", "/a/x", ""}, {"h", "/a", ""},
 	}
 	for _, c := range cases {
-		r, found := x.match(c.host, c.path)
+		r, found := index.match(c.host, c.path)
 		is.Equal(r.Name, c.want)
 		is.Equal(found, c.want != "")
 	}
