--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -123,18 +123,18 @@
 }
 
 // Write implements io.Writer.
-func (k chunkWriter) Write(p []byte) (int, error) {
+func (w chunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if _, err := fmt.Fprintf(k.w, "%x\r\n", len(p)); err != nil {
+	if _, err := fmt.Fprintf(w.w, "%x\r\n", len(p)); err != nil {
 		return 0, err
 	}
-	n, err := stallWriter(k).Write(p)
+	n, err := stallWriter(w).Write(p)
 	if err != nil {
 		return n, err
 	}
-	_, err = k.w.WriteString("\r\n")
+	_, err = w.w.WriteString("\r\n")
 	return n, err
 }
 
@@ -145,7 +145,7 @@
 }
 
 // Write implements io.Writer.
-func (s stallWriter) Write(p []byte) (int, error) {
-	_ = s.c.conn.Conn.SetWriteDeadline(time.Now().Add(stallTimeout))
-	return s.w.Write(p)
+func (w stallWriter) Write(p []byte) (int, error) {
+	_ = w.c.conn.Conn.SetWriteDeadline(time.Now().Add(stallTimeout))
+	return w.w.Write(p)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -82,17 +82,17 @@
 
 // outcomeOfError returns the outcome of a run that ended with an error of the connection pool.
 func (x *exchange) outcomeOfError(ctx context.Context, err error) placement.Outcome {
-	ended := ctx.Err()
+	ctxErr := ctx.Err()
 	switch {
-	case errorx.IsOfType(err, backend.ErrNotSent) && ended == nil:
+	case errorx.IsOfType(err, backend.ErrNotSent) && ctxErr == nil:
 		return placement.Unreachable
 	case errorx.IsOfType(err, backend.ErrFull):
 		return placement.NotRun
 	case errorx.IsOfType(err, backend.ErrNotSent):
 		return placement.NotRun
-	case errors.Is(ended, context.DeadlineExceeded):
+	case errors.Is(ctxErr, context.DeadlineExceeded):
 		return placement.Silent
-	case ended != nil:
+	case ctxErr != nil:
 		return placement.Abandoned
 	}
 	return placement.Broken
@@ -112,8 +112,8 @@
 		// An empty field keeps net/http from adding its own user agent.
 		r.Header.Set("User-Agent", "")
 	}
-	left := max(1, (x.deadline - x.gateway.now()).Milliseconds())
-	r.Header.Set(x.gateway.dialect.DeadlineHeader, strconv.FormatInt(left, 10))
+	remaining := max(1, (x.deadline - x.gateway.now()).Milliseconds())
+	r.Header.Set(x.gateway.dialect.DeadlineHeader, strconv.FormatInt(remaining, 10))
 	r.Header.Set(x.gateway.dialect.ExpectedTargetHeader, p.Target)
 	if len(q.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(q.body)), int64(len(q.body))
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -25,6 +25,7 @@
 	busyReadTimeout = 10 * time.Minute
 )
 
+// callerWriters pools the write buffers of responses.
 var callerWriters = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, callerWriteBytes) }}
 
 // callerConn is the HTTP/1 connection of a caller. Pipelined requests are handled concurrently and answered in order.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -293,6 +293,7 @@
 	active int
 }
 
+// start starts a run on the target that a home has chosen.
 func (h *hedgedRuns) start(ctx context.Context, from placer, placed placement.Placed) {
 	ctx, cancel := context.WithCancel(ctx)
 	index := len(h.cancels)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -99,9 +99,9 @@
 		name   string
 		change func(*standin.Target)
 	}{
-		{"answer lost", func(t *standin.Target) { t.Lose = true }},
-		{"target sheds", func(t *standin.Target) { t.Shed = true }},
-		{"answer cut", func(t *standin.Target) { t.Cut = true }},
+		{"response lost", func(t *standin.Target) { t.Lose = true }},
+		{"target refuses", func(t *standin.Target) { t.Shed = true }},
+		{"response truncated", func(t *standin.Target) { t.Cut = true }},
 		{"too slow", func(t *standin.Target) { t.Work = 2 * time.Second }},
 	}
 	for _, c := range cases {
@@ -132,9 +132,9 @@
 		name   string
 		change func(*standin.Target)
 	}{
-		{"answer lost", func(t *standin.Target) { t.Lose = true }},
-		{"answer cut", func(t *standin.Target) { t.Cut = true }},
-		{"target sheds", func(t *standin.Target) { t.Shed = true }},
+		{"response lost", func(t *standin.Target) { t.Lose = true }},
+		{"response truncated", func(t *standin.Target) { t.Cut = true }},
+		{"target refuses", func(t *standin.Target) { t.Shed = true }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -302,17 +302,17 @@
 		isolate func(f *fleet, home string)
 	}{
 		{"killed", func(f *fleet, home string) { f.crash(home) }},
-		{"silent", func(f *fleet, home string) {
+		{"partitioned", func(f *fleet, home string) {
 			for name := range f.hosts {
 				f.net.Part(name, home)
 			}
 		}},
-		{"connections to it silent", func(f *fleet, home string) {
+		{"partitioned for connections to it", func(f *fleet, home string) {
 			for name := range f.hosts {
 				f.net.SilenceOneWay(name, home)
 			}
 		}},
-		{"connections from it silent", func(f *fleet, home string) {
+		{"partitioned for connections from it", func(f *fleet, home string) {
 			for name := range f.hosts {
 				f.net.SilenceOneWay(home, name)
 			}
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -101,6 +101,7 @@
 	}
 }
 
+// all returns the placement states of all services, in no particular order.
 func (s *homeServer) all() []*serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +208,7 @@
 	h.home.Done(s.gateway.now(), d)
 }
 
-// runEndedAnyService does the same when the run's service is unknown: every service is tried.
+// runEndedAnyService frees the slot of a run whose service is unknown, by trying every service.
 func (s *homeServer) runEndedAnyService(d placement.Done) {
 	for _, h := range s.all() {
 		h.mu.Lock()
@@ -250,8 +251,8 @@
 	var lastKeepAlive time.Duration
 	for ctx.Err() == nil {
 		if wait == idleTickInterval {
-			arrived, cancel := context.WithTimeout(ctx, wait)
-			g.homeServer.requestArrived.Pop(arrived)
+			waitCtx, cancel := context.WithTimeout(ctx, wait)
+			g.homeServer.requestArrived.Pop(waitCtx)
 			cancel()
 		} else {
 			duty.Sleep(ctx, wait)
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -16,7 +16,7 @@
 const (
 	// homeSilenceTimeout is how long a home may send nothing while requests wait for it: three keep-alive intervals.
 	homeSilenceTimeout = 3 * keepAliveInterval
-	// idleSendWait is how often a stream on which no request waits is checked.
+	// idleSendWait is how long send waits for a call before it checks a stream on which no request waits.
 	idleSendWait = time.Minute
 	// suspectTime is how long a home that did not answer is not asked again.
 	suspectTime = 500 * time.Millisecond
@@ -37,6 +37,7 @@
 
 // pendingRequest receives the verdicts for one request of a caller, from every placer that was asked.
 type pendingRequest struct {
+	// number identifies the request on placement streams.
 	number  uint64
 	service string
 	events  chan placementEvent
@@ -65,7 +66,7 @@
 	pending    map[uint64]*pendingRequest
 	// remotes holds the streams by the name of the host at the other end.
 	remotes map[string]*remoteHome
-	// suspects holds until when a host is not asked, by its name.
+	// suspects holds the time until which a host is not asked, by its name.
 	suspects map[string]time.Duration
 	// ranks is keyed by service.
 	ranks  map[string]cachedRank
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -14,7 +14,7 @@
 
 // peerServer implements the RPCs that other entry hosts call.
 type peerServer struct {
-	// The remaining methods are used only between hosts of package entry.
+	// The methods that are not implemented here are called only between hosts of package entry.
 	inner.DRPCPeerUnimplementedServer
 	gateway *Gateway
 }
@@ -101,23 +101,24 @@
 
 // broadcast queues an update for all followers. A follower whose queue is full is removed, which ends its stream; it
 // then follows again and receives all entries.
-func (f *followers) broadcast(n storeUpdate) {
+func (f *followers) broadcast(u storeUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for number, r := range f.queues {
-		if !r.Push(n) {
+	for number, queue := range f.queues {
+		if !queue.Push(u) {
 			delete(f.queues, number)
 		}
 	}
 }
 
+// add registers a follower and returns its number and its queue of updates.
 func (f *followers) add() (uint64, *ring.Ring[storeUpdate]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastNumber++
-	r := ring.New[storeUpdate](ring.Config{Capacity: followerQueueSize})
-	f.queues[f.lastNumber] = r
-	return f.lastNumber, r
+	queue := ring.New[storeUpdate](ring.Config{Capacity: followerQueueSize})
+	f.queues[f.lastNumber] = queue
+	return f.lastNumber, queue
 }
 
 func (f *followers) remove(number uint64) {
@@ -126,6 +127,7 @@
 	delete(f.queues, number)
 }
 
+// contains reports whether a follower is still registered; broadcast removes those that read too slowly.
 func (f *followers) contains(number uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,7 +139,7 @@
 // are none, keep-alive messages.
 func (p *peerServer) FollowStore(_ *inner.FollowStoreRequest, stream inner.DRPCPeer_FollowStoreStream) error {
 	g := p.gateway
-	number, changes := g.followers.add()
+	number, updates := g.followers.add()
 	defer g.followers.remove(number)
 	all, revision := g.roster.Changes()
 	if err := stream.Send(toFollowReply(storeUpdate{changes: all, revision: revision})); err != nil {
@@ -145,35 +147,35 @@
 	}
 	for g.followers.contains(number) {
 		waitCtx, cancel := context.WithTimeout(stream.Context(), followKeepAliveInterval)
-		n, ok := changes.Pop(waitCtx)
+		u, ok := updates.Pop(waitCtx)
 		cancel()
 		if stream.Context().Err() != nil {
 			return stream.Context().Err()
 		}
 		if !ok {
-			n = storeUpdate{}
+			u = storeUpdate{}
 		}
-		if err := stream.Send(toFollowReply(n)); err != nil {
+		if err := stream.Send(toFollowReply(u)); err != nil {
 			return err
 		}
 	}
 	return inner.ErrPeer.New("host %s dropped a follower of the store that read too slowly; it must follow again from the start", g.settings.Host.Name)
 }
 
-func toFollowReply(n storeUpdate) *inner.FollowStoreReply {
-	reply := &inner.FollowStoreReply{Revision: n.revision, Returned: n.returned}
-	for _, c := range n.changes {
+func toFollowReply(u storeUpdate) *inner.FollowStoreReply {
+	reply := &inner.FollowStoreReply{Revision: u.revision, Returned: u.returned}
+	for _, c := range u.changes {
 		reply.Changes = append(reply.Changes, &inner.StoreChange{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
 	}
 	return reply
 }
 
 func fromFollowReply(reply *inner.FollowStoreReply) storeUpdate {
-	n := storeUpdate{revision: reply.Revision, returned: reply.Returned}
+	u := storeUpdate{revision: reply.Revision, returned: reply.Returned}
 	for _, c := range reply.Changes {
-		n.changes = append(n.changes, platform.Change{Entry: platform.Entry{Key: c.Key, Value: c.Value, Revision: c.Revision}, Deleted: c.Deleted})
+		u.changes = append(u.changes, platform.Change{Entry: platform.Entry{Key: c.Key, Value: c.Value, Revision: c.Revision}, Deleted: c.Deleted})
 	}
-	return n
+	return u
 }
 
 // runHeartbeats is the background task that sends heartbeats.
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -13,7 +13,8 @@
 // probeTimeout is how long a health probe may take before its connection is closed.
 const probeTimeout = 400 * time.Millisecond
 
-// maxHealthBytes bounds the bytes that are read of a health response, so that its connection can be reused.
+// maxHealthBytes bounds the bytes that are read of a health response or of a refusal. Their connections can be reused
+// only if they were read to the end.
 const maxHealthBytes = 4 << 10
 
 // probe requests a target's health path and passes the result and the reported load to the placement state.
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -322,7 +322,8 @@
 }
 
 // drainTarget registers a target as draining and checks that it gets no request later than drainTimeLimit after that.
-// Then the target registers as ready again. Faults of the store or of hosts may delay the change, so the check is skipped with them.
+// Then the target registers as ready again. The check is skipped if the scenario has faults of the store or of hosts,
+// which may delay the change.
 func (x *scenarioRun) drainTarget(f fault, server *standin.Target) {
 	x.register(server, "draining")
 	time.Sleep(drainTimeLimit)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -54,12 +54,12 @@
 }
 
 // Read implements io.Reader.
-func (m *limitedConn) Read(p []byte) (int, error) {
-	if m.remaining <= 0 {
+func (c *limitedConn) Read(p []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, errHeaderTooLong
 	}
-	n, err := m.Conn.Read(p[:min(len(p), m.remaining)])
-	m.remaining -= n
+	n, err := c.Conn.Read(p[:min(len(p), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
 
@@ -198,7 +198,7 @@
 func (b *bodyBudget) release(n int64) { b.used.Add(-n) }
 
 // newReader returns the buffered reader of a caller's connection.
-func newReader(m *limitedConn) *bufio.Reader { return bufio.NewReaderSize(m, callerReadBytes) }
+func newReader(c *limitedConn) *bufio.Reader { return bufio.NewReaderSize(c, callerReadBytes) }
 
 // requestContext returns the context for a request. It ends when the caller disconnects only if the request is
 // repeatable; any other request is run to its end, since it may already have had an effect.
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -55,11 +55,11 @@
 	go func() {
 		defer close(done)
 		for {
-			e, ok := r.entries.Pop(ctx)
+			entry, ok := r.entries.Pop(ctx)
 			if !ok {
 				return
 			}
-			r.write(e)
+			r.write(entry)
 		}
 	}()
 	return r, func() {
@@ -69,33 +69,35 @@
 }
 
 // add queues an entry unless the rate limit is reached or the queue is full.
-func (r *requestLog) add(l logEntry) {
+func (r *requestLog) add(entry logEntry) {
 	limiter := r.notable
-	if l.status < 300 && l.homesAsked == 1 && l.hedges == 0 && l.sent && !l.late {
+	if entry.status < 300 && entry.homesAsked == 1 && entry.hedges == 0 && entry.sent && !entry.late {
 		limiter = r.routine
 	}
-	if !limiter.Allow() || !r.entries.Push(l) {
+	if !limiter.Allow() || !r.entries.Push(entry) {
 		r.unwritten.Add(1)
 	}
 }
 
-func (r *requestLog) write(l logEntry) {
+func (r *requestLog) write(entry logEntry) {
 	e := r.logger.Info()
-	switch d := l.verdict.(type) {
+	switch v := entry.verdict.(type) {
 	case placement.Placed:
-		e.Dur("ExpectedMilliseconds", d.Expected).Dur("KnowledgeAgeMilliseconds", d.KnowledgeAge)
+		e.Dur("ExpectedMilliseconds", v.Expected).Dur("KnowledgeAgeMilliseconds", v.KnowledgeAge)
 	case placement.Refused:
-		e.Dur("ExpectedMilliseconds", d.Expected).Int("Waiting", d.Waiting).Int("Slots", d.Slots)
+		e.Dur("ExpectedMilliseconds", v.Expected).Int("Waiting", v.Waiting).Int("Slots", v.Slots)
 	}
 	e.
-		Time("At", l.at).Str("Request", l.id).Str("Rule", l.rule).Str("Service", l.service).Str("Home", l.home).
-		Str("Targets", l.targets).Str("Outcome", l.outcome).Str("Reason", l.reason).Int("Status", l.status).Int("Note", l.note).
-		Int("Asks", l.homesAsked).Int("Hedges", l.hedges).Bool("Queued", l.queued).Bool("Sent", l.sent).Bool("Late", l.late).
-		Dur("TookMilliseconds", l.took).Dur("LeftMilliseconds", l.remaining).Int64("Unwritten", r.unwritten.Load()).
+		Time("At", entry.at).Str("Request", entry.id).Str("Rule", entry.rule).Str("Service", entry.service).Str("Home", entry.home).
+		Str("Targets", entry.targets).Str("Outcome", entry.outcome).Str("Reason", entry.reason).Int("Status", entry.status).Int("Note", entry.note).
+		Int("Asks", entry.homesAsked).Int("Hedges", entry.hedges).Bool("Queued", entry.queued).Bool("Sent", entry.sent).Bool("Late", entry.late).
+		Dur("TookMilliseconds", entry.took).Dur("LeftMilliseconds", entry.remaining).Int64("Unwritten", r.unwritten.Load()).
 		Msg("request ended")
 }
 
-// stats holds the counters that the metrics page shows.
+// stats holds the counters that the metrics page shows. Those with less obvious names are: silentHomes, homes that gave
+// no verdict within firstVerdictTimeout; slowReaders, hosts cut off because they did not read their verdicts; truncated,
+// responses that could not be sent completely; rejected, requests that could not be read.
 type stats struct {
 	requests, attempts, probes, storeCalls, silentHomes, slowReaders, rejected atomic.Int64
 	answered, refused, failed, notFound, truncated                             atomic.Int64
@@ -117,21 +119,21 @@
 	default:
 		s.failed.Add(1)
 	}
-	l := logEntry{
+	entry := logEntry{
 		at: time.Now().UTC(), id: x.request.attemptID, rule: x.rule.Name, service: x.service, outcome: x.lastOutcome, reason: response.reason,
 		status: response.status, note: x.noteNumber, homesAsked: x.homesAsked, hedges: x.hedges, queued: x.queued, sent: sent, took: took,
 		remaining: x.deadline - g.now(), late: x.ruleFound && g.now() > x.goal, verdict: x.verdict,
 	}
 	if x.placer != nil {
-		l.home = x.placer.name()
+		entry.home = x.placer.name()
 	}
 	for i, target := range x.tried {
 		if i > 0 {
-			l.targets += " "
+			entry.targets += " "
 		}
-		l.targets += target
+		entry.targets += target
 	}
-	g.requestLog.add(l)
+	g.requestLog.add(entry)
 	if x.ruleFound {
 		g.histograms.Record(meter.Key{Service: x.service, Class: x.rule.Class}, took)
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -30,7 +30,8 @@
 	registerDelay = 3 * time.Second
 	// firstRetryPause is the pause after the first of several failed calls in a row.
 	firstRetryPause = 20 * time.Millisecond
-	// watchRetryPause is the pause after each further failed call, and between other checks that are repeated.
+	// watchRetryPause is the pause after each further failed call. It is also how often the choice of watchers and of
+	// followed hosts is checked.
 	watchRetryPause = 300 * time.Millisecond
 	// lostStoreRetryPause is the pause after a failed call while other hosts can reach the store.
 	lostStoreRetryPause = time.Second
@@ -289,7 +290,7 @@
 	return g.members.Live(g.now())
 }
 
-// queueIfAhead queues the sender of a heartbeat for runCatchUp if it has a newer note than this host.
+// queueIfAhead queues the sender of a heartbeat or its reply for runCatchUp if it has a newer note than this host.
 func (g *Gateway) queueIfAhead(sender string, members []*inner.Member) {
 	if m, ahead := inner.Ahead(sender, members, g.chain.Number()); ahead {
 		g.peersAhead.Push(m)
@@ -326,10 +327,10 @@
 
 // applyUpdate applies an update of the store from a peer and passes it on to this host's followers.
 func (g *Gateway) applyUpdate(reply *inner.FollowStoreReply) {
-	n := fromFollowReply(reply)
+	u := fromFollowReply(reply)
 	// A watcher that cannot reach the store receives changes this way, and its followers depend on it.
-	returned := n.returned && g.roster.StoreReturned(g.now())
-	g.broadcastChanges(g.roster.Apply(g.now(), n.changes, n.revision), n.revision, returned)
+	returned := u.returned && g.roster.StoreReturned(g.now())
+	g.broadcastChanges(g.roster.Apply(g.now(), u.changes, u.revision), u.revision, returned)
 }
 
 // followPeer receives updates from one host until the stream ends or sends nothing for followSilenceTimeout.
