--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -3,9 +3,9 @@
 // it where that is allowed, and returns the response.
 //
 // The home of a service is the entry host that decides for all entry hosts which target runs which request of that
-// service. Every entry host can be a home, and one that reaches no home places its requests itself. Hosts find each
-// other by heartbeats and replicate the platform's store, which holds the configuration and the registered targets.
-// A revision of the configuration is called a note.
+// service; its decision about a request is a verdict. Every entry host can be a home, and one that reaches no home
+// places its requests itself. Hosts find each other by heartbeats and replicate the platform's store, which holds the
+// configuration and the registered targets. A revision of the configuration is called a note.
 package gateway
 
 import (
