--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,99 +11,103 @@
 	"briarcroft/internal/placement"
 )
 
-// wholeBytes is the largest answer that is read whole before its caller sees a byte, so that a cut one can be asked for again.
-const wholeBytes = 1 << 20
+// maxBufferedResponse is the size in bytes up to which a response is read whole before any of it is sent to the
+// caller, so that a truncated response can still be replaced by a retry.
+const maxBufferedResponse = 1 << 20
 
-// answer is what a caller gets.
-type answer struct {
+// callerResponse is the response to a caller.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest is what follows body of an answer too large to hold; its length is unknown when length is below zero.
-	rest   io.ReadCloser
+	// unread is what follows body in a response too large to buffer; otherwise it is nil.
+	unread io.ReadCloser
+	// length is the whole body's size in bytes; it is below zero when unknown.
 	length int64
-	// reason explains an answer of the host's own; it is empty for a target's.
+	// reason explains a response that this host made itself; it is empty for a response of a target.
 	reason string
 }
 
-// own returns an answer of the host's own; retryAfter is zero where coming back makes no sense.
-func own(status int, reason string, retryAfter time.Duration) *answer {
-	a := &answer{status: status, header: http.Header{}, reason: reason}
-	a.header.Set("Content-Type", "text/plain; charset=utf-8")
-	a.header.Set("Briarcroft-Reason", reason)
+// localResponse returns a response of this host itself; retryAfter is zero where a retry cannot help.
+func localResponse(status int, reason string, retryAfter time.Duration) *callerResponse {
+	r := &callerResponse{status: status, header: http.Header{}, reason: reason}
+	r.header.Set("Content-Type", "text/plain; charset=utf-8")
+	r.header.Set("Briarcroft-Reason", reason)
 	if retryAfter > 0 {
-		a.header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+		r.header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	a.body = []byte(reason + "\n")
-	a.length = int64(len(a.body))
-	return a
+	r.body = []byte(reason + "\n")
+	r.length = int64(len(r.body))
+	return r
 }
 
-// refused returns the answer for a request that was not run and will not be.
-func refused(r placement.Refused) *answer {
-	return own(http.StatusServiceUnavailable, string(r.Reason), r.RetryAfter)
+// refusalResponse returns the response to a request that no target has run or will run.
+func refusalResponse(r placement.Refused) *callerResponse {
+	return localResponse(http.StatusServiceUnavailable, string(r.Reason), r.RetryAfter)
 }
 
-// write sends an answer and reports whether all of it was sent.
-func (c *callerConn) write(q *request, a *answer, closing bool) bool {
-	conn := c.metered.Conn
+// writeResponse sends a response and reports whether all of it was sent.
+func (c *callerConn) writeResponse(q *request, r *callerResponse, closing bool) bool {
+	conn := c.conn.Conn
 	_ = conn.SetWriteDeadline(time.Now().Add(stallTimeout))
 	w := callerWriters.Get().(*bufio.Writer)
 	w.Reset(conn)
 	defer callerWriters.Put(w)
-	if a.rest != nil {
-		defer a.rest.Close()
+	if r.unread != nil {
+		defer r.unread.Close()
 	}
-	if err := writeHead(w, q, a, closing); err != nil {
+	if err := writeResponseHead(w, q, r, closing); err != nil {
 		return false
 	}
 	if q.method == http.MethodHead {
 		return w.Flush() == nil
 	}
-	if a.rest != nil && a.length < 0 {
-		return c.writeChunked(w, a) == nil
+	if r.unread != nil && r.length < 0 {
+		return c.writeChunked(w, r) == nil
 	}
-	if _, err := w.Write(a.body); err != nil {
+	if _, err := w.Write(r.body); err != nil {
 		return false
 	}
-	if a.rest != nil {
-		n, err := io.Copy(stallWriter{c, w}, a.rest)
-		if err != nil || int64(len(a.body))+n != a.length {
+	if r.unread != nil {
+		n, err := io.Copy(stallWriter{c, w}, r.unread)
+		if err != nil || int64(len(r.body))+n != r.length {
 			return false
 		}
 	}
 	return w.Flush() == nil
 }
 
-func writeHead(w *bufio.Writer, q *request, a *answer, closing bool) error {
-	if _, err := fmt.Fprintf(w, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status)); err != nil {
+// writeResponseHead writes the status line and the header fields.
+func writeResponseHead(w *bufio.Writer, q *request, r *callerResponse, closing bool) error {
+	if _, err := fmt.Fprintf(w, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status)); err != nil {
 		return err
 	}
-	a.header.Del("Content-Length")
+	r.header.Del("Content-Length")
 	switch {
-	case a.status == http.StatusNoContent || a.status == http.StatusNotModified:
-	case a.length < 0:
-		a.header.Set("Transfer-Encoding", "chunked")
+	case r.status == http.StatusNoContent || r.status == http.StatusNotModified:
+	case r.length < 0:
+		r.header.Set("Transfer-Encoding", "chunked")
 	default:
-		a.header.Set("Content-Length", strconv.FormatInt(a.length, 10))
+		r.header.Set("Content-Length", strconv.FormatInt(r.length, 10))
 	}
-	if closing || q.last {
-		a.header.Set("Connection", "close")
+	if closing || q.closeAfter {
+		r.header.Set("Connection", "close")
 	}
-	if err := a.header.Write(w); err != nil {
+	if err := r.header.Write(w); err != nil {
 		return err
 	}
 	_, err := w.WriteString("\r\n")
 	return err
 }
 
-// writeChunked sends an answer of unknown length; without its last chunk it does not look complete.
-func (c *callerConn) writeChunked(w *bufio.Writer, a *answer) error {
+// writeChunked sends a response of unknown length. After a read error the last chunk is left out, so that the caller
+// recognises the response as incomplete.
+func (c *callerConn) writeChunked(w *bufio.Writer, r *callerResponse) error {
 	chunks := chunkWriter{c, w}
-	if _, err := chunks.Write(a.body); err != nil {
+	if _, err := chunks.Write(r.body); err != nil {
 		return err
 	}
-	if _, err := io.Copy(chunks, a.rest); err != nil {
+	if _, err := io.Copy(chunks, r.unread); err != nil {
 		return err
 	}
 	if _, err := w.WriteString("0\r\n\r\n"); err != nil {
@@ -112,36 +116,36 @@
 	return w.Flush()
 }
 
-// chunkWriter writes each piece as one chunk.
+// chunkWriter writes each slice as one chunk of the chunked transfer encoding.
 type chunkWriter struct {
 	c *callerConn
 	w *bufio.Writer
 }
 
 // Write implements io.Writer.
-func (k chunkWriter) Write(p []byte) (int, error) {
+func (w chunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if _, err := fmt.Fprintf(k.w, "%x\r\n", len(p)); err != nil {
+	if _, err := fmt.Fprintf(w.w, "%x\r\n", len(p)); err != nil {
 		return 0, err
 	}
-	n, err := stallWriter(k).Write(p)
+	n, err := stallWriter(w).Write(p)
 	if err != nil {
 		return n, err
 	}
-	_, err = k.w.WriteString("\r\n")
+	_, err = w.w.WriteString("\r\n")
 	return n, err
 }
 
-// stallWriter gives the caller new time with each piece.
+// stallWriter extends the write deadline by stallTimeout before each write.
 type stallWriter struct {
 	c *callerConn
 	w *bufio.Writer
 }
 
 // Write implements io.Writer.
-func (s stallWriter) Write(p []byte) (int, error) {
-	_ = s.c.metered.Conn.SetWriteDeadline(time.Now().Add(stallTimeout))
-	return s.w.Write(p)
+func (w stallWriter) Write(p []byte) (int, error) {
+	_ = w.c.conn.Conn.SetWriteDeadline(time.Now().Add(stallTimeout))
+	return w.w.Write(p)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,21 +16,21 @@
 	"github.com/joomcode/errorx"
 )
 
-// outcomeNames are the outcomes of runs as logs show them.
+// outcomeNames are the names of outcomes in the request log.
 var outcomeNames = map[placement.Outcome]string{
 	placement.OutcomeAnswered: "Answered", placement.OutcomeFailed: "TargetFailed", placement.OutcomeNotRun: "TargetRefused",
 	placement.OutcomeUnreachable: "TargetUnreachable", placement.OutcomeConnectionBroke: "ConnectionBroke", placement.OutcomeTimedOut: "TimedOut",
 	placement.OutcomeCanceled: "Abandoned", placement.OutcomeOtherServer: "OtherTargetAtAddress",
 }
 
-// result is how a run on a target ended.
+// result is how a run on a target ended; response is nil unless the target sent one.
 type result struct {
-	outcome placement.Outcome
-	answer  *answer
-	load    *placement.LoadReport
-	took    time.Duration
-	// run numbers the runs of one try.
-	run int
+	outcome  placement.Outcome
+	response *callerResponse
+	load     *placement.LoadReport
+	took     time.Duration
+	// index is the position of the run among its hedgedRuns.
+	index int
 }
 
 // notRun reports whether the target certainly did not run the request.
@@ -42,63 +42,65 @@
 	return false
 }
 
-// attempt sends the request to one target and tells the home how that ended.
-func (x *exchange) attempt(ctx context.Context, from decider, p placement.Placed) *result {
+// runOn sends the request to one target and reports the end of the run to the home that placed it.
+func (x *exchange) runOn(ctx context.Context, from placer, p placement.Placed) *result {
 	started := x.gateway.now()
-	r := x.send(ctx, p)
+	r := x.roundTrip(ctx, p)
 	if r.took == 0 {
 		r.took = x.gateway.now() - started
 	}
 	x.gateway.stats.attempts.Add(1)
 	done := placement.RunEnd{Target: p.Target, Outcome: r.outcome, Duration: r.took, Load: r.load}
-	if r.answer != nil {
-		done.Bytes = len(r.answer.body)
+	if r.response != nil {
+		done.Bytes = len(r.response.body)
 	}
-	from.end(x.inquiry, done)
+	from.endRun(x.pending, done)
 	return r
 }
 
-func (x *exchange) send(ctx context.Context, p placement.Placed) *result {
+// roundTrip sends the request to one target and reads the response.
+func (x *exchange) roundTrip(ctx context.Context, p placement.Placed) *result {
 	g := x.gateway
 	started := g.now()
 	pool := g.pools.get(p.Target, p.Address)
-	response, err := pool.Do(x.outgoing(ctx, p), backend.Try{Proven: !x.repeatable()})
+	response, err := pool.Do(x.targetRequest(ctx, p), backend.Try{Proven: !x.repeatable()})
 	if err != nil {
-		return &result{outcome: x.sendFailure(ctx, err)}
+		return &result{outcome: x.outcomeOfError(ctx, err)}
 	}
-	r := &result{load: g.load(response.Header), took: g.now() - started}
+	r := &result{load: g.parseLoad(response.Header), took: g.now() - started}
 	if response.Header.Get(g.dialect.NotRunHeader) != "" || response.StatusCode == http.StatusMisdirectedRequest {
 		r.outcome = placement.OutcomeNotRun
 		if response.StatusCode == http.StatusMisdirectedRequest {
 			r.outcome = placement.OutcomeOtherServer
 		}
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxHealthBytes))
 		_ = response.Body.Close()
 		return r
 	}
-	return x.readAnswer(ctx, r, response)
+	return x.readResponse(ctx, r, response)
 }
 
-// sendFailure tells how a run without an answer ended.
-func (x *exchange) sendFailure(ctx context.Context, err error) placement.Outcome {
-	ended := ctx.Err()
+// outcomeOfError returns the outcome of a run that ended with an error of the connection pool.
+func (x *exchange) outcomeOfError(ctx context.Context, err error) placement.Outcome {
+	ctxErr := ctx.Err()
 	switch {
-	case errorx.IsOfType(err, backend.ErrNotSent) && ended == nil:
+	case errorx.IsOfType(err, backend.ErrNotSent) && ctxErr == nil:
 		return placement.OutcomeUnreachable
 	case errorx.IsOfType(err, backend.ErrFull):
 		return placement.OutcomeNotRun
 	case errorx.IsOfType(err, backend.ErrNotSent):
 		return placement.OutcomeNotRun
-	case errors.Is(ended, context.DeadlineExceeded):
+	case errors.Is(ctxErr, context.DeadlineExceeded):
 		return placement.OutcomeTimedOut
-	case ended != nil:
+	case ctxErr != nil:
 		return placement.OutcomeCanceled
 	}
 	return placement.OutcomeConnectionBroke
 }
 
-// outgoing builds the request that the target gets.
-func (x *exchange) outgoing(ctx context.Context, p placement.Placed) *http.Request {
+// targetRequest returns the request to send to a target: the caller's without hop-by-hop fields, with the remaining
+// time and the target's name added.
+func (x *exchange) targetRequest(ctx context.Context, p placement.Placed) *http.Request {
 	q := x.request
 	r := (&http.Request{
 		Method: q.method, Host: q.host, Header: q.header.Clone(), URL: &url.URL{Scheme: "http", Host: p.Address, Opaque: q.uri},
@@ -107,20 +109,21 @@
 	backend.DropHops(r.Header)
 	r.Header.Del("Expect")
 	if r.Header.Get("User-Agent") == "" {
-		// An empty field keeps the library from adding its own.
+		// An empty field keeps net/http from adding its own user agent.
 		r.Header.Set("User-Agent", "")
 	}
-	left := max(1, (x.deadline - x.gateway.now()).Milliseconds())
-	r.Header.Set(x.gateway.dialect.DeadlineHeader, strconv.FormatInt(left, 10))
-	r.Header.Set(x.gateway.dialect.ExpectHeader, p.Target)
+	remaining := max(1, (x.deadline - x.gateway.now()).Milliseconds())
+	r.Header.Set(x.gateway.dialect.DeadlineHeader, strconv.FormatInt(remaining, 10))
+	r.Header.Set(x.gateway.dialect.ExpectedTargetHeader, p.Target)
 	if len(q.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(q.body)), int64(len(q.body))
 	}
 	return r
 }
 
-// promisesNotRun reports whether callers take a status as the word that the request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers understand a status as proof that the request was not run, so that they may
+// send even an unsafe one again.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -128,31 +131,33 @@
 	return false
 }
 
-// readAnswer reads an answer whole, or its beginning when it is too large to hold.
-func (x *exchange) readAnswer(ctx context.Context, r *result, response *http.Response) *result {
+// readResponse reads a response whole, or its beginning when it exceeds maxBufferedResponse. A success, or a status
+// that implies that the request was not run, counts as a broken connection unless the seal header proves that the
+// target itself sent it.
+func (x *exchange) readResponse(ctx context.Context, r *result, response *http.Response) *result {
 	sealed := response.Header.Get(x.gateway.dialect.SealHeader) != ""
-	if !sealed && (response.StatusCode < http.StatusMultipleChoices || promisesNotRun(response.StatusCode)) {
+	if !sealed && (response.StatusCode < http.StatusMultipleChoices || impliesNotRun(response.StatusCode)) {
 		_ = response.Body.Close()
 		r.outcome = placement.OutcomeConnectionBroke
 		return r
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, wholeBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse))
 	if err != nil {
 		_ = response.Body.Close()
-		r.outcome = x.sendFailure(ctx, err)
+		r.outcome = x.outcomeOfError(ctx, err)
 		return r
 	}
-	a := &answer{status: response.StatusCode, header: response.Header, body: body, length: int64(len(body))}
-	backend.DropHops(a.header)
-	if len(body) == wholeBytes {
-		a.rest, a.length = response.Body, response.ContentLength
+	c := &callerResponse{status: response.StatusCode, header: response.Header, body: body, length: int64(len(body))}
+	backend.DropHops(c.header)
+	if len(body) == maxBufferedResponse {
+		c.unread, c.length = response.Body, response.ContentLength
 	} else {
 		_ = response.Body.Close()
 	}
 	if x.request.method == http.MethodHead {
-		a.length = max(0, response.ContentLength)
+		c.length = max(0, response.ContentLength)
 	}
-	r.answer = a
+	r.response = c
 	r.outcome = placement.OutcomeAnswered
 	if response.StatusCode >= http.StatusInternalServerError {
 		r.outcome = placement.OutcomeFailed
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -10,219 +10,228 @@
 	"time"
 )
 
-// Sizes and times of callers' connections.
+// Limits of the connections of callers.
 const (
+	// callerReadBytes and callerWriteBytes are the sizes of the buffers of a connection.
 	callerReadBytes  = 4 << 10
 	callerWriteBytes = 8 << 10
-	// mostAhead is how many requests a caller may send before the first is answered.
-	mostAhead = 16
-	// lingerTime is how long a closing connection is read from, so that its last answer isn't lost to a reset.
+	// maxPipelined is how many pipelined requests of one connection are handled at once.
+	maxPipelined = 16
+	// lingerTime is how long a closing connection is still read, so that a reset does not destroy its last response.
 	lingerTime = 500 * time.Millisecond
-	// stallTimeout is how long a caller may take no byte of an answer.
+	// stallTimeout is how long a write of a response to a caller may block.
 	stallTimeout = 10 * time.Second
-	// neverIdle is the deadline of a connection with a request under way.
-	neverIdle = 10 * time.Minute
+	// busyReadTimeout bounds the wait for the next request while an earlier one is being handled.
+	busyReadTimeout = 10 * time.Minute
 )
 
+// callerWriters pools the write buffers of responses.
 var callerWriters = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, callerWriteBytes) }}
 
-// callerConn is one caller's connection. Requests sent ahead are worked on at once and answered in order.
+// callerConn is the HTTP/1 connection of a caller. Pipelined requests are handled concurrently and answered in order.
 type callerConn struct {
 	gateway *Gateway
-	metered *meteredReader
+	conn    *limitedConn
 	reader  *bufio.Reader
 	address string
-	// ctx ends when the caller has gone.
+	// ctx ends when the caller has disconnected.
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex
-	// taken and answered count requests; closing is set once no further one is taken.
-	taken, answered int
-	closing         bool
-	// turn is closed when the request before the next one has been answered.
-	turn  chan struct{}
-	ahead chan struct{}
+	// accepted counts the requests that were read, and responded those that were answered.
+	accepted, responded int
+	// closing is set once no further request is accepted.
+	closing bool
+	// lastTurn is closed when the last accepted request has been answered.
+	lastTurn chan struct{}
+	// pipelineSlots holds one item for each request that is being handled.
+	pipelineSlots chan struct{}
 }
 
-// serveCallers takes connections of callers.
+// serveCallers accepts and serves connections of callers until the listener is closed.
 func (g *Gateway) serveCallers(_ context.Context, l net.Listener) error {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		g.open.Add(1)
+		g.openConns.Add(1)
 		go func() {
-			defer g.open.Add(-1)
+			defer g.openConns.Add(-1)
 			c := newCallerConn(g, conn)
-			g.conns.Store(c, nil)
-			defer g.conns.Delete(c)
+			g.callerConns.Store(c, nil)
+			defer g.callerConns.Delete(c)
 			c.serve()
 		}()
 	}
 }
 
 func newCallerConn(g *Gateway, conn net.Conn) *callerConn {
-	c := &callerConn{gateway: g, metered: &meteredReader{Conn: conn}, turn: make(chan struct{}), ahead: make(chan struct{}, mostAhead)}
-	c.reader = newReader(c.metered)
+	c := &callerConn{gateway: g, conn: &limitedConn{Conn: conn}, lastTurn: make(chan struct{}), pipelineSlots: make(chan struct{}, maxPipelined)}
+	c.reader = newReader(c.conn)
 	c.ctx, c.cancel = context.WithCancel(g.background)
 	if host, _, err := net.SplitHostPort(conn.RemoteAddr().String()); err == nil {
 		c.address = host
 	}
-	close(c.turn)
+	close(c.lastTurn)
 	return c
 }
 
-// serve reads requests until the caller goes or the connection is to close.
+// serve reads and handles requests until the caller disconnects or the connection is closing.
 func (c *callerConn) serve() {
-	var working sync.WaitGroup
+	var handlers sync.WaitGroup
 	for {
-		q, bad := c.readRequest()
+		q, rejected := c.readRequest()
 		if q == nil {
-			c.reject(bad)
+			c.reject(rejected)
 			break
 		}
-		mine, previous, taken := c.take(q.last)
-		if !taken {
+		done, previous, ok := c.accept(q.closeAfter)
+		if !ok {
 			q.release()
 			break
 		}
-		c.ahead <- struct{}{}
-		working.Go(func() { c.work(q, mine, previous) })
-		if q.last {
+		c.pipelineSlots <- struct{}{}
+		handlers.Go(func() { c.handle(q, done, previous) })
+		if q.closeAfter {
 			break
 		}
 	}
-	c.awaitEnd(&working)
+	c.awaitHandlers(&handlers)
 }
 
-// awaitEnd lets requests under way finish; a caller that leaves meanwhile ends those that may be given up.
-func (c *callerConn) awaitEnd(working *sync.WaitGroup) {
-	left := make(chan struct{})
+// awaitHandlers waits for the requests that are being handled and closes the connection. If the caller disconnects
+// meanwhile, its repeatable requests are cancelled.
+func (c *callerConn) awaitHandlers(handlers *sync.WaitGroup) {
+	callerLeft := make(chan struct{})
 	go func() {
-		defer close(left)
-		if _, err := io.Copy(io.Discard, c.metered.Conn); err == nil {
+		defer close(callerLeft)
+		if _, err := io.Copy(io.Discard, c.conn.Conn); err == nil {
 			c.cancel()
 		}
 	}()
-	working.Wait()
+	handlers.Wait()
 	c.cancel()
-	_ = c.metered.SetReadDeadline(time.Unix(1, 0))
-	<-left
-	c.linger()
+	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
+	<-callerLeft
+	c.lingeringClose()
 }
 
-// linger closes the connection once the caller had time to read its last answer: closing at once would reset it
-// when the caller has sent more.
-func (c *callerConn) linger() {
-	if half, can := c.metered.Conn.(interface{ CloseWrite() error }); can {
-		// The connection is closed for good below.
-		_ = half.CloseWrite()
+// lingeringClose closes the connection after the caller had time to read the last response. Closing at once would
+// reset the connection if the caller has sent more data.
+func (c *callerConn) lingeringClose() {
+	if closer, ok := c.conn.Conn.(interface{ CloseWrite() error }); ok {
+		// An error does not matter: the connection is closed completely below.
+		_ = closer.CloseWrite()
 	}
-	_ = c.metered.SetReadDeadline(time.Now().Add(lingerTime))
-	_, _ = io.Copy(io.Discard, c.metered.Conn)
-	_ = c.metered.Conn.Close()
+	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime))
+	_, _ = io.Copy(io.Discard, c.conn.Conn)
+	_ = c.conn.Conn.Close()
 }
 
-// take accepts a request unless the connection is closing; mine is to be closed once it is answered, after previous.
-func (c *callerConn) take(last bool) (mine chan struct{}, previous <-chan struct{}, taken bool) {
+// accept registers a request that was read, unless the connection is closing. The request may be answered once
+// previous is closed, and done must be closed after that; closeAfter is set if no further request is to be accepted.
+func (c *callerConn) accept(closeAfter bool) (done chan struct{}, previous <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return nil, nil, false
 	}
-	c.taken++
-	c.closing = last
-	mine, previous = make(chan struct{}), c.turn
-	c.turn = mine
-	return mine, previous, true
+	c.accepted++
+	c.closing = closeAfter
+	done, previous = make(chan struct{}), c.lastTurn
+	c.lastTurn = done
+	return done, previous, true
 }
 
-// work answers one request in its turn.
-func (c *callerConn) work(q *request, mine chan struct{}, previous <-chan struct{}) {
-	defer func() { <-c.ahead }()
-	defer close(mine)
+// handle handles one request and writes its response after those of the requests before it.
+func (c *callerConn) handle(q *request, done chan struct{}, previous <-chan struct{}) {
+	defer func() { <-c.pipelineSlots }()
+	defer close(done)
 	defer q.release()
 	x := newExchange(c, q)
-	a := x.run()
+	response := x.run()
 	<-previous
-	closing := c.answering()
-	sent := c.write(q, a, closing)
-	x.finish(a, sent)
-	c.answeredOne(closing || !sent)
+	closing := c.isLastResponse()
+	sent := c.writeResponse(q, response, closing)
+	x.finish(response, sent)
+	c.responseWritten(closing || !sent)
 }
 
-// answering reports whether the next answer is the connection's last: the host stops and nothing else is under way.
-func (c *callerConn) answering() bool {
+// isLastResponse reports whether the next response is the last one of the connection, because the connection is closing
+// or the host is stopping and no other request was accepted.
+func (c *callerConn) isLastResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gateway.stopping.Load() && c.taken == c.answered+1 {
+	if c.gateway.stopping.Load() && c.accepted == c.responded+1 {
 		c.closing = true
 	}
-	return c.closing && c.taken == c.answered+1
+	return c.closing && c.accepted == c.responded+1
 }
 
-func (c *callerConn) answeredOne(end bool) {
+// responseWritten counts a response, and closes the connection to further requests if end is set.
+func (c *callerConn) responseWritten(end bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered++
+	c.responded++
 	if end {
 		c.closing = true
-		// The reader wakes up and finds the connection closing.
-		_ = c.metered.SetReadDeadline(time.Unix(1, 0))
+		// A deadline in the past ends the pending read of the next request.
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 		return
 	}
-	if c.taken == c.answered {
-		_ = c.metered.SetReadDeadline(time.Now().Add(c.gateway.limits().IdleTimeout))
+	if c.accepted == c.responded {
+		_ = c.conn.SetReadDeadline(time.Now().Add(c.gateway.limits().IdleTimeout))
 	}
 }
 
-// closeIfIdle ends the connection when nothing is under way on it.
+// closeIfIdle closes the connection if no request is being handled on it.
 func (c *callerConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken == c.answered {
+	if c.accepted == c.responded {
 		c.closing = true
-		_ = c.metered.SetReadDeadline(time.Unix(1, 0))
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// setIdleDeadline bounds the wait for the next request, unless one is under way.
+// setIdleDeadline sets the read deadline for the next request: idle, or busyReadTimeout while one is being handled.
 func (c *callerConn) setIdleDeadline(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.closing:
-		_ = c.metered.SetReadDeadline(time.Unix(1, 0))
-	case c.taken == c.answered:
-		_ = c.metered.SetReadDeadline(time.Now().Add(idle))
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
+	case c.accepted == c.responded:
+		_ = c.conn.SetReadDeadline(time.Now().Add(idle))
 	default:
-		_ = c.metered.SetReadDeadline(time.Now().Add(neverIdle))
+		_ = c.conn.SetReadDeadline(time.Now().Add(busyReadTimeout))
 	}
 }
 
-// reject answers what was no proper request, after those before it.
-func (c *callerConn) reject(bad *rejection) {
-	if bad == nil {
-		// The caller has gone, or was idle for too long.
-		if c.gone() {
+// reject answers a request that could not be read, after the requests before it. A nil rejection means that there is
+// nothing to answer.
+func (c *callerConn) reject(rejected *rejection) {
+	if rejected == nil {
+		// The caller has disconnected, or was idle for too long.
+		if c.callerLeft() {
 			c.cancel()
 		}
 		return
 	}
-	mine, previous, taken := c.take(true)
-	if !taken {
+	done, previous, ok := c.accept(true)
+	if !ok {
 		return
 	}
-	defer close(mine)
+	defer close(done)
 	<-previous
 	q := &request{method: http.MethodGet}
-	c.write(q, own(bad.status, bad.reason, bad.retryAfter), true)
+	c.writeResponse(q, localResponse(rejected.status, rejected.reason, rejected.retryAfter), true)
 	c.gateway.stats.rejected.Add(1)
 }
 
-// gone reports whether the reader ended because the caller left, not because the connection is closing.
-func (c *callerConn) gone() bool {
+// callerLeft reports whether reading ended because the caller disconnected, not because the connection is closing.
+func (c *callerConn) callerLeft() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closing
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -15,276 +15,286 @@
 	"briarcroft/internal/route"
 )
 
-// Times of the homes.
+// Intervals of the placement timers.
 const (
-	// tickEvery is the time between two runs of the timers of services that have requests.
-	tickEvery = 10 * time.Millisecond
-	// idleTickEvery is the same while no service has any.
-	idleTickEvery = 100 * time.Millisecond
-	// aliveEvery is how often a home shows hosts that wait for a place that it still listens.
-	aliveEvery = 150 * time.Millisecond
+	// tickInterval is the time between two runs of the placement timers while any service has requests.
+	tickInterval = 10 * time.Millisecond
+	// idleTickInterval is the time between two runs of the placement timers while no service has requests.
+	idleTickInterval = 100 * time.Millisecond
+	// keepAliveInterval is how often a home sends a keep-alive message to hosts whose requests it has queued.
+	keepAliveInterval = 150 * time.Millisecond
 )
 
-// Shares of the retry slack. All homes and all hosts that decide alone must stay within it together.
+// Shares of the retry slack and ratio of the settings. The primary home of a service and all fallback homes together
+// must stay within the whole.
 const (
-	homeSlackShare  = 0.4
-	aloneSlackShare = 0.4
-	// ratioShare leaves room for repeats that were decided by a home that has just been replaced.
-	ratioShare = 0.9
+	// primarySlackShare is the share of the slack that the primary home of a service gets.
+	primarySlackShare = 0.4
+	// fallbackSlackShare is the share of the slack that all fallback homes divide among them.
+	fallbackSlackShare = 0.4
+	// retryRatioShare leaves room for extra attempts that were granted by a home that has just been replaced.
+	retryRatioShare = 0.9
 )
 
-// verdictRing is how many verdicts may wait for a host that reads slowly.
-const verdictRing = 1024
+// verdictQueueSize is the number of verdicts that may be queued for a host that reads slowly.
+const verdictQueueSize = 1024
 
-// homes holds the decisions for those services that ask here, whether as their home or because no home answers.
-type homes struct {
-	gateway *Gateway
-	mu      sync.Mutex
-	byName  map[string]*home
-	// sessions are the conversations with the hosts that ask.
-	sessions map[uint64]*session
-	last     uint64
-	// woken ends the pause of the timers while nothing was under way.
-	woken *ring.Ring[struct{}]
+// homeServer places requests on behalf of other hosts and of this one. It does so for each service that it is asked
+// for: as the primary home, or as a fallback home while others cannot be reached.
+type homeServer struct {
+	gateway  *Gateway
+	mu       sync.Mutex
+	services map[string]*serviceHome
+	// sessions holds the placement streams of the hosts that send requests here, by their id.
+	sessions    map[uint64]*session
+	lastSession uint64
+	// requestArrived wakes the placement timers from their idle interval.
+	requestArrived *ring.Ring[struct{}]
 }
 
-// home is the decision for one service.
-type home struct {
-	homes   *homes
-	service string
-	mu      sync.Mutex
-	home    *placement.Home
-	health  string
+// serviceHome is the placement state of one service; mu guards home.
+type serviceHome struct {
+	server     *homeServer
+	service    string
+	mu         sync.Mutex
+	home       *placement.Home
+	healthPath string
 }
 
-// session is the conversation with one host that asks for places; verdicts go out in order.
+// session is the placement stream of one host that sends requests here. Verdicts are delivered in order.
 type session struct {
-	number   uint64
+	id       uint64
 	verdicts *ring.Ring[*inner.PlaceVerdict]
-	// local gets the verdicts of the own host instead.
-	local func(number uint64, v placement.Verdict)
-	// end ends the conversation with another host, which begins a new one.
-	end context.CancelFunc
+	// deliverLocal receives the verdicts for requests of this host; it is nil for other hosts.
+	deliverLocal func(number uint64, v placement.Verdict)
+	// disconnect closes the stream of another host, which then opens a new one.
+	disconnect context.CancelFunc
 }
 
-func newHomes(g *Gateway) *homes {
-	return &homes{gateway: g, byName: map[string]*home{}, sessions: map[uint64]*session{}, woken: ring.New[struct{}](ring.Config{Capacity: 1})}
+func newHomeServer(g *Gateway) *homeServer {
+	return &homeServer{gateway: g, services: map[string]*serviceHome{}, sessions: map[uint64]*session{}, requestArrived: ring.New[struct{}](ring.Config{Capacity: 1})}
 }
 
-// openSession begins a conversation: with another host one that end ends, or with the own host, which gets verdicts by local.
-func (o *homes) openSession(local func(uint64, placement.Verdict), end context.CancelFunc) *session {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.last++
-	d := &session{number: o.last, local: local, end: end}
-	if local == nil {
-		d.verdicts = ring.New[*inner.PlaceVerdict](ring.Config{Capacity: verdictRing})
+// openSession registers a placement stream. Another host has its verdicts queued and is cut off with disconnect; for
+// this host deliverLocal is called with each verdict.
+func (s *homeServer) openSession(deliverLocal func(uint64, placement.Verdict), disconnect context.CancelFunc) *session {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastSession++
+	sess := &session{id: s.lastSession, deliverLocal: deliverLocal, disconnect: disconnect}
+	if deliverLocal == nil {
+		sess.verdicts = ring.New[*inner.PlaceVerdict](ring.Config{Capacity: verdictQueueSize})
 	}
-	o.sessions[d.number] = d
-	return d
+	s.sessions[sess.id] = sess
+	return sess
 }
 
-// closeSession ends a conversation and forgets all that its host held.
-func (o *homes) closeSession(d *session) {
-	o.mu.Lock()
-	delete(o.sessions, d.number)
-	o.mu.Unlock()
-	for _, h := range o.all() {
+// closeSession removes a placement stream, drops the queued requests of its host and frees the slots of its runs.
+func (s *homeServer) closeSession(sess *session) {
+	s.mu.Lock()
+	delete(s.sessions, sess.id)
+	s.mu.Unlock()
+	for _, h := range s.all() {
 		h.mu.Lock()
-		h.home.EndStream(o.gateway.now(), d.number)
+		h.home.EndStream(s.gateway.now(), sess.id)
 		h.mu.Unlock()
 	}
 }
 
-func (o *homes) all() []*home {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	list := make([]*home, 0, len(o.byName))
-	for _, h := range o.byName {
+// all returns the placement states of all services, in no particular order.
+func (s *homeServer) all() []*serviceHome {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := make([]*serviceHome, 0, len(s.services))
+	for _, h := range s.services {
 		list = append(list, h)
 	}
 	return list
 }
 
-// get returns the decision for a service, beginning it with the targets known here.
-func (o *homes) get(service string) *home {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	h := o.byName[service]
+// get returns the placement state of a service, creating it with the targets in the roster.
+func (s *homeServer) get(service string) *serviceHome {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	h := s.services[service]
 	if h == nil {
-		h = &home{homes: o, service: service}
+		h = &serviceHome{server: s, service: service}
 		h.home = placement.New(placement.Config{
-			Random: rand.New(rand.NewPCG(o.gateway.incarnation, uint64(len(o.byName)))), Budget: o.budget(), OnVerdict: o.notify,
-			OnEjection: func(e placement.Ejection) { o.explainEjection(service, e) },
+			Random: rand.New(rand.NewPCG(s.gateway.incarnation, uint64(len(s.services)))), Budget: s.retryBudget(), OnVerdict: s.sendVerdict,
+			OnEjection: func(e placement.Ejection) { s.recordEjection(service, e) },
 		})
-		o.byName[service] = h
-		h.adopt(o.gateway.roster.View())
+		s.services[service] = h
+		h.applyView(s.gateway.roster.View())
 	}
 	return h
 }
 
-// explainEjection writes a record of a target that failures took out, or that is back.
-func (o *homes) explainEjection(service string, e placement.Ejection) {
-	g := o.gateway
+// recordEjection writes a change record for a target that was ejected after failures or has returned.
+func (s *homeServer) recordEjection(service string, e placement.Ejection) {
+	g := s.gateway
 	r := record.Record{Kind: record.TargetMoved, Service: service, Target: e.Target, From: route.Live.String(), To: route.Ejected.String(), Cause: string(route.CauseFailures), Note: g.chain.Number()}
 	r.Evidence.Failures = e.Failures
 	if !e.Ejected {
 		r.From, r.To, r.Cause = r.To, r.From, string(route.CauseEjectionEnded)
 	}
-	g.book.Add(r)
+	g.records.Add(r)
 }
 
-// budget returns the part of the retry budget that this host may decide on.
-func (o *homes) budget() placement.RetryBudget {
-	s := o.gateway.tunable.Load().Retries
-	return placement.RetryBudget{Ratio: ratioShare * s.Ratio, Window: s.Window}
+// retryBudget returns the part of the service's retry budget that this host may grant.
+func (s *homeServer) retryBudget() placement.RetryBudget {
+	r := s.gateway.reloadable.Load().Retries
+	return placement.RetryBudget{Ratio: retryRatioShare * r.Ratio, Window: r.Window}
 }
 
-// slack returns how many repeats beyond the ratio this host may decide on: many as the service's primary home, few otherwise.
-func (o *homes) slack(primary bool, hosts int) float64 {
-	total := float64(o.gateway.tunable.Load().Retries.Slack)
+// retrySlack returns how many extra attempts beyond the ratio this host may grant. A fallback home gets an equal part
+// of fallbackSlackShare, since every host may act as one at the same time.
+func (s *homeServer) retrySlack(primary bool, hosts int) float64 {
+	total := float64(s.gateway.reloadable.Load().Retries.Slack)
 	if primary {
-		return homeSlackShare * total
+		return primarySlackShare * total
 	}
-	return aloneSlackShare * total / float64(max(1, hosts))
+	return fallbackSlackShare * total / float64(max(1, hosts))
 }
 
-// adopt hands new targets to every decision.
-func (o *homes) adopt(v *roster.View) {
-	for _, h := range o.all() {
+// applyView passes changed targets to the placement state of every service.
+func (s *homeServer) applyView(v *roster.View) {
+	for _, h := range s.all() {
 		h.mu.Lock()
-		h.adopt(v)
+		h.applyView(v)
 		h.mu.Unlock()
 	}
 }
 
-func (h *home) adopt(v *roster.View) {
+// applyView sets the service's targets and health path; the caller holds h.mu.
+func (h *serviceHome) applyView(v *roster.View) {
 	list := v.Targets[h.service]
 	targets := make([]placement.Target, 0, len(list))
 	for _, t := range list {
 		targets = append(targets, t.Target)
 	}
-	if s, named := v.Configuration.Service(h.service); named {
-		h.health = s.ReportPath
+	if service, found := v.Configuration.Service(h.service); found {
+		h.healthPath = service.ReportPath
 	}
-	h.home.SetTargets(h.homes.gateway.now(), targets)
+	h.home.SetTargets(h.server.gateway.now(), targets)
 }
 
-// ask offers a request of a session's host.
-func (o *homes) ask(service string, r *placement.Request) {
-	h := o.get(service)
-	ranked := o.gateway.links.rank(service)
-	primary := len(ranked) > 0 && ranked[0].Name == o.gateway.settings.Host.Name
+// place asks the service's placement state for a target. Verdicts follow through sendVerdict.
+func (s *homeServer) place(service string, r *placement.Request) {
+	h := s.get(service)
+	ranked := s.gateway.homeClient.rankedHomes(service)
+	primary := len(ranked) > 0 && ranked[0].Name == s.gateway.settings.Host.Name
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.home.SetPrimary(primary)
-	h.home.SetRetrySlack(o.slack(primary, len(ranked)))
-	h.home.Submit(o.gateway.now(), r)
+	h.home.SetRetrySlack(s.retrySlack(primary, len(ranked)))
+	h.home.Submit(s.gateway.now(), r)
 	h.sendProbes()
-	// The timers must run while requests wait.
-	o.woken.Push(struct{}{})
+	// Queued requests are placed and expired by the timers.
+	s.requestArrived.Push(struct{}{})
 }
 
-// sendProbes begins the probes that are due; the caller holds the lock.
-func (h *home) sendProbes() {
-	for _, p := range h.home.DueProbes(h.homes.gateway.now()) {
-		go h.probe(h.homes.gateway.background, p)
+// sendProbes starts the health probes that are due; the caller holds h.mu.
+func (h *serviceHome) sendProbes() {
+	for _, p := range h.home.DueProbes(h.server.gateway.now()) {
+		go h.probe(h.server.gateway.background, p)
 	}
 }
 
-// done takes in the end of a run.
-func (o *homes) done(service string, d placement.RunEnd) {
-	h := o.get(service)
+// runEnded frees the slot of a run of a service and records its outcome.
+func (s *homeServer) runEnded(service string, d placement.RunEnd) {
+	h := s.get(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.home.RunEnded(o.gateway.now(), d)
+	h.home.RunEnded(s.gateway.now(), d)
 }
 
-// abandon ends a run of whichever service has it.
-func (o *homes) abandon(d placement.RunEnd) {
-	for _, h := range o.all() {
+// runEndedAnyService frees the slot of a run whose service is unknown, by trying every service.
+func (s *homeServer) runEndedAnyService(d placement.RunEnd) {
+	for _, h := range s.all() {
 		h.mu.Lock()
-		h.home.RunEnded(o.gateway.now(), d)
+		h.home.RunEnded(s.gateway.now(), d)
 		h.mu.Unlock()
 	}
 }
 
-// withdraw takes a request out of the queue.
-func (o *homes) withdraw(service string, id placement.RequestID) {
-	h := o.get(service)
+// withdraw removes a request from the service's queue.
+func (s *homeServer) withdraw(service string, id placement.RequestID) {
+	h := s.get(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.home.CancelQueued(id)
 }
 
-// notify hands a verdict to the host that asked; it runs under the lock of the decision.
-func (o *homes) notify(r *placement.Request, v placement.Verdict) {
-	o.mu.Lock()
-	d := o.sessions[r.ID.Stream]
-	o.mu.Unlock()
-	if d == nil {
+// sendVerdict sends a verdict to the host that asked; its caller holds the lock of the service's placement state.
+func (s *homeServer) sendVerdict(r *placement.Request, v placement.Verdict) {
+	s.mu.Lock()
+	sess := s.sessions[r.ID.Stream]
+	s.mu.Unlock()
+	if sess == nil {
 		return
 	}
-	if d.local != nil {
-		d.local(r.ID.Number, v)
+	if sess.deliverLocal != nil {
+		sess.deliverLocal(r.ID.Number, v)
 		return
 	}
-	if !d.verdicts.Push(inner.ToVerdict(r.ID.Number, v)) {
-		// A host that does not read would hold its places until their time limit.
-		o.gateway.stats.slowReaders.Add(1)
-		d.end()
+	if !sess.verdicts.Push(inner.ToVerdict(r.ID.Number, v)) {
+		// A host that does not read its verdicts would keep the slots that they reserve until its requests time out.
+		s.gateway.stats.slowReaders.Add(1)
+		sess.disconnect()
 	}
 }
 
-// tickDuty runs the timers of the decisions and sends their probes.
-func (g *Gateway) tickDuty(ctx context.Context) {
-	wait := idleTickEvery
-	var alive time.Duration
+// runPlacementTimers is the background task that runs the placement timers of all services, starts health probes that
+// are due and sends keep-alive messages.
+func (g *Gateway) runPlacementTimers(ctx context.Context) {
+	wait := idleTickInterval
+	var lastKeepAlive time.Duration
 	for ctx.Err() == nil {
-		if wait == idleTickEvery {
-			woken, cancel := context.WithTimeout(ctx, wait)
-			g.homes.woken.Pop(woken)
+		if wait == idleTickInterval {
+			waitCtx, cancel := context.WithTimeout(ctx, wait)
+			g.homeServer.requestArrived.Pop(waitCtx)
 			cancel()
 		} else {
 			duty.Sleep(ctx, wait)
 		}
-		wait = idleTickEvery
-		for _, h := range g.homes.all() {
+		wait = idleTickInterval
+		for _, h := range g.homeServer.all() {
 			h.mu.Lock()
 			if h.home.Tick(g.now()) {
-				wait = tickEvery
+				wait = tickInterval
 			}
 			h.sendProbes()
 			h.mu.Unlock()
 		}
-		if now := g.now(); now-alive >= aliveEvery {
-			alive = now
-			g.homes.showAlive()
+		if now := g.now(); now-lastKeepAlive >= keepAliveInterval {
+			lastKeepAlive = now
+			g.homeServer.sendKeepAlives()
 		}
 	}
 }
 
-// showAlive tells the hosts whose requests wait here that this one still listens.
-func (o *homes) showAlive() {
+// sendKeepAlives sends an empty verdict to each host whose requests are queued here, so that it can tell a long queue
+// from an unreachable home.
+func (s *homeServer) sendKeepAlives() {
 	waiting := map[uint64]bool{}
-	for _, h := range o.all() {
+	for _, h := range s.all() {
 		h.mu.Lock()
 		h.home.AddQueuedStreams(waiting)
 		h.mu.Unlock()
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, d := range o.sessions {
-		if d.verdicts != nil && waiting[d.number] {
-			d.verdicts.Push(&inner.PlaceVerdict{})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, sess := range s.sessions {
+		if sess.verdicts != nil && waiting[sess.id] {
+			sess.verdicts.Push(&inner.PlaceVerdict{})
 		}
 	}
 }
 
-// queued returns how many requests wait at the decisions here, by service.
-func (o *homes) queued() map[string]int {
+// queuedByService returns the number of requests queued on this host, by service.
+func (s *homeServer) queuedByService() map[string]int {
 	counts := map[string]int{}
-	for _, h := range o.all() {
+	for _, h := range s.all() {
 		h.mu.Lock()
 		counts[h.service] = h.home.QueueLength()
 		h.mu.Unlock()
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -12,300 +12,315 @@
 	"briarcroft/internal/ring"
 )
 
-// Times and sizes of the conversations with homes.
+// Times and sizes of the placement streams to homes.
 const (
-	// linkSilence is how long a home may send nothing: three times what passes between two of its signs of life.
-	linkSilence = 3 * aliveEvery
-	// linkIdle is the pause between two looks at a conversation in which no request waits.
-	linkIdle = time.Minute
-	// suspectFor is how long a home that did not answer is passed over.
-	suspectFor = 500 * time.Millisecond
-	// linkRing is how many calls may wait for a home that reads slowly.
-	linkRing = 1024
-	// askedHomes is how many homes are asked before a host decides alone.
-	askedHomes = 2
-	// rankTime is how long the order of a service's homes is kept.
-	rankTime = 50 * time.Millisecond
+	// homeSilenceTimeout is how long a home may send nothing while requests wait for it: three keep-alive intervals.
+	homeSilenceTimeout = 3 * keepAliveInterval
+	// idleSendWait is how long send waits for a call before it checks a stream on which no request waits.
+	idleSendWait = time.Minute
+	// suspectTime is how long a home that did not answer is not asked again.
+	suspectTime = 500 * time.Millisecond
+	// placeCallQueueSize is the number of calls that may be queued for a home that reads slowly.
+	placeCallQueueSize = 1024
+	// maxRemoteHomes is how many other hosts are asked before this host places the request itself.
+	maxRemoteHomes = 2
+	// rankCacheTime is how long the ranking of a service's homes is cached.
+	rankCacheTime = 50 * time.Millisecond
 )
 
-// event is what a decider tells an inquiry: a verdict, or that the conversation has ended.
-type event struct {
-	from    decider
-	verdict placement.Verdict
-	lost    bool
+// placementEvent tells a pending request about a verdict, or that the stream to its placer has ended.
+type placementEvent struct {
+	placer       placer
+	verdict      placement.Verdict
+	disconnected bool
 }
 
-// inquiry is one request's questions to homes, and what they answer.
-type inquiry struct {
+// pendingRequest receives the verdicts for one request of a caller, from every placer that was asked.
+type pendingRequest struct {
+	// number identifies the request on placement streams.
 	number  uint64
 	service string
-	events  chan event
+	events  chan placementEvent
 }
 
-// decider is whoever decides on a place: a remoteHome or the localHome.
-type decider interface {
-	// name is the host that decides.
+// placer decides which target runs a request: a remoteHome or the localHome.
+type placer interface {
+	// name returns the name of the host that decides.
 	name() string
-	ask(e *inquiry, r *placement.Request)
-	end(e *inquiry, d placement.RunEnd)
-	withdraw(e *inquiry)
-	// decided notes that an ask has its verdict; withdraw does so for one without.
-	decided()
+	// place asks for a target; verdicts follow as events of the pending request.
+	place(p *pendingRequest, r *placement.Request)
+	// endRun reports the end of a run, which frees its slot on the target.
+	endRun(p *pendingRequest, d placement.RunEnd)
+	// withdraw takes back a call of place that has no verdict yet.
+	withdraw(p *pendingRequest)
+	// verdictReceived must be called once a call of place has its final verdict, unless withdraw was called.
+	verdictReceived()
 }
 
-// links holds the conversations with homes.
-type links struct {
-	gateway   *Gateway
-	last      atomic.Uint64
-	mu        sync.Mutex
-	inquiries map[uint64]*inquiry
-	byName    map[string]*remoteHome
-	suspects  map[string]time.Duration
-	ranks     map[string]rank
-	own       *localHome
-	ctx       context.Context
-	cancel    context.CancelFunc
-	ends      sync.WaitGroup
+// homeClient sends the requests of this host's callers to the homes of their services, over one placement stream to
+// each home, and passes the verdicts on.
+type homeClient struct {
+	gateway    *Gateway
+	lastNumber atomic.Uint64
+	mu         sync.Mutex
+	pending    map[uint64]*pendingRequest
+	// remotes holds the streams by the name of the host at the other end.
+	remotes map[string]*remoteHome
+	// suspects holds the time until which a host is not asked, by its name.
+	suspects map[string]time.Duration
+	// ranks is keyed by service.
+	ranks  map[string]cachedRank
+	local  *localHome
+	ctx    context.Context
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 }
 
-// rank is the order of a service's homes, as of a time.
-type rank struct {
+// cachedRank is the order in which hosts are home to a service, as computed at a time of Gateway.now.
+type cachedRank struct {
 	at      time.Duration
 	members []host.Member
 }
 
-func newLinks(g *Gateway) *links {
-	l := &links{
-		gateway: g, inquiries: map[uint64]*inquiry{}, byName: map[string]*remoteHome{}, suspects: map[string]time.Duration{}, ranks: map[string]rank{},
+func newHomeClient(g *Gateway) *homeClient {
+	c := &homeClient{
+		gateway: g, pending: map[uint64]*pendingRequest{}, remotes: map[string]*remoteHome{}, suspects: map[string]time.Duration{}, ranks: map[string]cachedRank{},
 	}
-	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.own = &localHome{links: l}
-	l.own.session = g.homes.openSession(l.own.take, nil)
-	return l
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.local = &localHome{client: c}
+	c.local.session = g.homeServer.openSession(c.local.handleVerdict, nil)
+	return c
 }
 
-func (l *links) close() {
-	l.cancel()
-	l.ends.Wait()
+func (c *homeClient) close() {
+	c.cancel()
+	c.tasks.Wait()
 }
 
-// open begins an inquiry; close it with done.
-func (l *links) open(service string) *inquiry {
-	e := &inquiry{number: l.last.Add(1), service: service, events: make(chan event, 8)}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.inquiries[e.number] = e
-	return e
+// register returns a new pending request of a service, which must be given to unregister in the end.
+func (c *homeClient) register(service string) *pendingRequest {
+	p := &pendingRequest{number: c.lastNumber.Add(1), service: service, events: make(chan placementEvent, 8)}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending[p.number] = p
+	return p
 }
 
-func (l *links) done(e *inquiry) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.inquiries, e.number)
+func (c *homeClient) unregister(p *pendingRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pending, p.number)
 }
 
-// deliver hands a verdict to its inquiry and reports whether somebody takes it.
-func (l *links) deliver(number uint64, from decider, v placement.Verdict) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	e := l.inquiries[number]
-	if e == nil {
+// deliver passes a verdict to its pending request. It returns false when the request is no longer pending or its
+// queue is full; a slot that the verdict reserves must then be released.
+func (c *homeClient) deliver(number uint64, from placer, v placement.Verdict) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.pending[number]
+	if p == nil {
 		return false
 	}
 	select {
-	case e.events <- event{from: from, verdict: v}:
+	case p.events <- placementEvent{placer: from, verdict: v}:
 		return true
 	default:
 		return false
 	}
 }
 
-// lose tells every inquiry that a conversation has ended.
-func (l *links) lose(from decider) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, e := range l.inquiries {
+// notifyDisconnected tells every pending request that the stream to a placer has ended.
+func (c *homeClient) notifyDisconnected(from placer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, p := range c.pending {
 		select {
-		case e.events <- event{from: from, lost: true}:
+		case p.events <- placementEvent{placer: from, disconnected: true}:
 		default:
-			// The inquiry has more verdicts than it can use.
+			// A full queue holds more verdicts than the request can use.
 		}
 	}
 }
 
-// rank returns the ready hosts in the order in which they are home to a service.
-func (l *links) rank(service string) []host.Member {
-	now := l.gateway.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r, known := l.ranks[service]
-	if !known || now-r.at > rankTime {
-		r = rank{now, host.Rank(service, l.gateway.table.Live(now))}
-		l.ranks[service] = r
+// rankedHomes returns the ready hosts in the order in which they are asked to place requests of a service. The first
+// is the service's primary home.
+func (c *homeClient) rankedHomes(service string) []host.Member {
+	now := c.gateway.now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r, cached := c.ranks[service]
+	if !cached || now-r.at > rankCacheTime {
+		r = cachedRank{now, host.Rank(service, c.gateway.members.Live(now))}
+		c.ranks[service] = r
 	}
 	return r.members
 }
 
-// deciders returns where to ask for a place, best first; the last is always this host.
-func (l *links) deciders(service string) []decider {
-	now := l.gateway.now()
-	self := l.gateway.settings.Host.Name
-	var list []decider
-	for _, m := range l.rank(service) {
+// placers returns the homes to ask, best first. The last one is always this host, so that requests are placed even
+// when no home can be reached.
+func (c *homeClient) placers(service string) []placer {
+	now := c.gateway.now()
+	self := c.gateway.settings.Host.Name
+	var list []placer
+	for _, m := range c.rankedHomes(service) {
 		if m.Name == self {
 			break
 		}
-		if len(list) == askedHomes {
+		if len(list) == maxRemoteHomes {
 			break
 		}
-		if link := l.link(now, m); link != nil {
-			list = append(list, link)
+		if h := c.remote(now, m); h != nil {
+			list = append(list, h)
 		}
 	}
-	return append(list, l.own)
+	return append(list, c.local)
 }
 
-// suspect passes a home over for a while.
-func (l *links) suspect(name string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.suspects[name] = l.gateway.now() + suspectFor
+// suspect excludes a home from placers for suspectTime.
+func (c *homeClient) suspect(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.suspects[name] = c.gateway.now() + suspectTime
 }
 
-// link returns the conversation with a home, beginning it when there is none, or nil while the home is passed over.
-func (l *links) link(now time.Duration, m host.Member) *remoteHome {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if until, suspected := l.suspects[m.Name]; suspected {
+// remote returns the stream to a home, opening it if necessary, or nil while the home is suspected.
+func (c *homeClient) remote(now time.Duration, m host.Member) *remoteHome {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if until, suspected := c.suspects[m.Name]; suspected {
 		if now < until {
 			return nil
 		}
-		delete(l.suspects, m.Name)
+		delete(c.suspects, m.Name)
 	}
-	k := l.byName[m.Name]
-	if k != nil && k.incarnation == m.Incarnation {
-		return k
+	h := c.remotes[m.Name]
+	if h != nil && h.incarnation == m.Incarnation {
+		return h
 	}
-	if k != nil {
-		k.cancel()
+	if h != nil {
+		h.cancel()
 	}
-	k = &remoteHome{links: l, member: m.Name, address: m.Inner, incarnation: m.Incarnation, calls: ring.New[*inner.PlaceCall](ring.Config{Capacity: linkRing})}
-	k.ctx, k.cancel = context.WithCancel(l.ctx)
-	k.heard.Store(int64(now))
-	l.byName[m.Name] = k
-	l.ends.Go(k.run)
-	return k
+	h = &remoteHome{client: c, host: m.Name, address: m.Inner, incarnation: m.Incarnation, calls: ring.New[*inner.PlaceCall](ring.Config{Capacity: placeCallQueueSize})}
+	h.ctx, h.cancel = context.WithCancel(c.ctx)
+	h.lastReceived.Store(int64(now))
+	c.remotes[m.Name] = h
+	c.tasks.Go(h.run)
+	return h
 }
 
-// remoteHome is the conversation with another host that decides.
+// remoteHome is the placement stream to another host.
 type remoteHome struct {
-	links           *links
-	member, address string
-	incarnation     uint64
-	calls           *ring.Ring[*inner.PlaceCall]
-	ctx             context.Context
-	cancel          context.CancelFunc
-	// heard is when the home last sent anything, on the host's clock, and waiting counts the requests that have no place yet.
-	heard   atomic.Int64
+	client        *homeClient
+	host, address string
+	incarnation   uint64
+	calls         *ring.Ring[*inner.PlaceCall]
+	ctx           context.Context
+	cancel        context.CancelFunc
+	// lastReceived is the time of Gateway.now at which the home last sent anything, in nanoseconds.
+	lastReceived atomic.Int64
+	// waiting counts the requests without a final verdict.
 	waiting atomic.Int64
 }
 
-func (k *remoteHome) name() string { return k.member }
+func (h *remoteHome) name() string { return h.host }
 
-func (k *remoteHome) push(c *inner.PlaceCall) {
-	if !k.calls.Push(c) {
-		// A home that does not read is as good as gone.
-		k.cancel()
+// queueCall queues a message for the home; it closes the stream when the queue is full.
+func (h *remoteHome) queueCall(c *inner.PlaceCall) {
+	if !h.calls.Push(c) {
+		// A home that does not read its stream is treated as unreachable.
+		h.cancel()
 	}
 }
 
-func (k *remoteHome) ask(e *inquiry, r *placement.Request) {
-	if k.waiting.Add(1) == 1 {
-		// Silence counts from now on.
-		k.heard.Store(int64(k.links.gateway.now()))
+func (h *remoteHome) place(p *pendingRequest, r *placement.Request) {
+	if h.waiting.Add(1) == 1 {
+		// An idle home sends no keep-alive messages, so its silence is measured from the first waiting request.
+		h.lastReceived.Store(int64(h.client.gateway.now()))
 	}
-	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, Ask: inner.ToAsk(k.links.gateway.now(), r)})
+	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Ask: inner.ToAsk(h.client.gateway.now(), r)})
 }
 
-func (k *remoteHome) end(e *inquiry, d placement.RunEnd) {
-	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, End: inner.ToEnd(d)})
+func (h *remoteHome) endRun(p *pendingRequest, d placement.RunEnd) {
+	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, End: inner.ToEnd(d)})
 }
 
-func (k *remoteHome) decided() { k.waiting.Add(-1) }
+func (h *remoteHome) verdictReceived() { h.waiting.Add(-1) }
 
-func (k *remoteHome) withdraw(e *inquiry) {
-	k.decided()
-	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, Withdraw: true})
+func (h *remoteHome) withdraw(p *pendingRequest) {
+	h.verdictReceived()
+	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Withdraw: true})
 }
 
-// run carries the conversation until it ends.
-func (k *remoteHome) run() {
-	defer k.ended()
-	defer k.cancel()
-	stream, err := k.links.gateway.client.Peer(k.ctx, k.address).Place(k.ctx)
+// run opens the stream and serves it until either side ends it.
+func (h *remoteHome) run() {
+	defer h.handleEnd()
+	defer h.cancel()
+	stream, err := h.client.gateway.client.Peer(h.ctx, h.address).Place(h.ctx)
 	if err != nil {
 		return
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		defer k.cancel()
-		k.receive(stream)
+		defer h.cancel()
+		h.receive(stream)
 	}()
-	k.send(stream)
-	k.cancel()
+	h.send(stream)
+	h.cancel()
 	<-done
 }
 
-// ended forgets the conversation and tells the inquiries.
-func (k *remoteHome) ended() {
-	k.links.mu.Lock()
-	if k.links.byName[k.member] == k {
-		delete(k.links.byName, k.member)
+// handleEnd removes the ended stream, suspects its host and notifies the pending requests.
+func (h *remoteHome) handleEnd() {
+	h.client.mu.Lock()
+	if h.client.remotes[h.host] == h {
+		delete(h.client.remotes, h.host)
 	}
-	k.links.mu.Unlock()
-	k.links.suspect(k.member)
-	k.links.lose(k)
+	h.client.mu.Unlock()
+	h.client.suspect(h.host)
+	h.client.notifyDisconnected(h)
 }
 
-// send hands calls to the home and ends the conversation once the home has been silent for too long while requests wait.
-func (k *remoteHome) send(stream inner.DRPCPeer_PlaceClient) {
-	for k.ctx.Err() == nil {
-		pause := linkIdle
-		if k.waiting.Load() > 0 {
-			pause = aliveEvery
+// send writes queued calls to the stream. It returns when the stream ends, or when the home has sent nothing for
+// homeSilenceTimeout while requests wait.
+func (h *remoteHome) send(stream inner.DRPCPeer_PlaceClient) {
+	for h.ctx.Err() == nil {
+		wait := idleSendWait
+		if h.waiting.Load() > 0 {
+			wait = keepAliveInterval
 		}
-		wait, cancel := context.WithTimeout(k.ctx, pause)
-		call, ok := k.calls.Pop(wait)
+		waitCtx, cancel := context.WithTimeout(h.ctx, wait)
+		call, ok := h.calls.Pop(waitCtx)
 		cancel()
 		if ok && stream.Send(call) != nil {
 			return
 		}
-		if k.waiting.Load() > 0 && k.links.gateway.now()-time.Duration(k.heard.Load()) > linkSilence {
+		if h.waiting.Load() > 0 && h.client.gateway.now()-time.Duration(h.lastReceived.Load()) > homeSilenceTimeout {
 			return
 		}
 	}
 }
 
-func (k *remoteHome) receive(stream inner.DRPCPeer_PlaceClient) {
+// receive delivers verdicts until the stream ends and releases the slots of those that nobody waits for any more.
+func (h *remoteHome) receive(stream inner.DRPCPeer_PlaceClient) {
 	for {
-		wire, err := stream.Recv()
+		message, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		k.heard.Store(int64(k.links.gateway.now()))
-		v := inner.FromVerdict(wire)
-		if v == nil || k.links.deliver(wire.Number, k, v) {
+		h.lastReceived.Store(int64(h.client.gateway.now()))
+		v := inner.FromVerdict(message)
+		if v == nil || h.client.deliver(message.Number, h, v) {
 			continue
 		}
-		if target, held := placeOf(v); held {
-			k.push(&inner.PlaceCall{Number: wire.Number, End: inner.ToEnd(placement.RunEnd{Target: target, Outcome: placement.OutcomeCanceled})})
+		if target, reserved := reservedTarget(v); reserved {
+			h.queueCall(&inner.PlaceCall{Number: message.Number, End: inner.ToEnd(placement.RunEnd{Target: target, Outcome: placement.OutcomeCanceled})})
 		}
 	}
 }
 
-// placeOf returns the target that a verdict holds a place on.
-func placeOf(v placement.Verdict) (string, bool) {
+// reservedTarget returns the target on which a verdict reserves a slot, if it reserves one.
+func reservedTarget(v placement.Verdict) (string, bool) {
 	switch v := v.(type) {
 	case placement.Placed:
 		return v.Target, true
@@ -315,46 +330,47 @@
 	return "", false
 }
 
-// localHome is the decision on this host itself.
+// localHome places requests on this host itself, without a network connection.
 type localHome struct {
-	links   *links
+	client  *homeClient
 	session *session
 }
 
-func (o *localHome) name() string { return o.links.gateway.settings.Host.Name }
+func (h *localHome) name() string { return h.client.gateway.settings.Host.Name }
 
-func (o *localHome) id(number uint64) placement.RequestID {
-	return placement.RequestID{Stream: o.session.number, Number: number}
+// id returns the identifier under which the home server knows a pending request of this host.
+func (h *localHome) id(number uint64) placement.RequestID {
+	return placement.RequestID{Stream: h.session.id, Number: number}
 }
 
-func (o *localHome) ask(e *inquiry, r *placement.Request) {
-	r.ID = o.id(e.number)
-	o.links.gateway.homes.ask(e.service, r)
+func (h *localHome) place(p *pendingRequest, r *placement.Request) {
+	r.ID = h.id(p.number)
+	h.client.gateway.homeServer.place(p.service, r)
 }
 
-func (o *localHome) end(e *inquiry, d placement.RunEnd) {
-	d.ID = o.id(e.number)
-	o.links.gateway.homes.done(e.service, d)
+func (h *localHome) endRun(p *pendingRequest, d placement.RunEnd) {
+	d.ID = h.id(p.number)
+	h.client.gateway.homeServer.runEnded(p.service, d)
 }
 
-// decided implements decider: the own host's decisions can't fall silent.
-func (o *localHome) decided() {}
+// verdictReceived implements placer; it has nothing to count because a local home cannot become unreachable.
+func (h *localHome) verdictReceived() {}
 
-func (o *localHome) withdraw(e *inquiry) {
-	o.links.gateway.homes.withdraw(e.service, o.id(e.number))
+func (h *localHome) withdraw(p *pendingRequest) {
+	h.client.gateway.homeServer.withdraw(p.service, h.id(p.number))
 }
 
-// take gets a verdict under the lock of the decision.
-func (o *localHome) take(number uint64, v placement.Verdict) {
-	if o.links.deliver(number, o, v) {
+// handleVerdict delivers a verdict; its caller holds the lock of the service's placement state.
+func (h *localHome) handleVerdict(number uint64, v placement.Verdict) {
+	if h.client.deliver(number, h, v) {
 		return
 	}
-	target, held := placeOf(v)
-	if !held {
+	target, reserved := reservedTarget(v)
+	if !reserved {
 		return
 	}
-	o.links.ends.Go(func() {
-		// The service is not known here any more; the home finds the run by its number.
-		o.links.gateway.homes.abandon(placement.RunEnd{ID: o.id(number), Target: target, Outcome: placement.OutcomeCanceled})
+	h.client.tasks.Go(func() {
+		// The pending request is gone and with it the name of the service. The lock is held, hence the goroutine.
+		h.client.gateway.homeServer.runEndedAnyService(placement.RunEnd{ID: h.id(number), Target: target, Outcome: placement.OutcomeCanceled})
 	})
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,13 +12,14 @@
 	"briarcroft/internal/ring"
 )
 
-// peerServer answers peers.
+// peerServer implements the RPCs that other entry hosts call.
 type peerServer struct {
-	// Notes and claims travel between hosts of the other kind only.
+	// The methods that are not implemented here are called only between hosts of package entry.
 	inner.DRPCPeerUnimplementedServer
 	gateway *Gateway
 }
 
+// servePeers serves the RPCs of other hosts until the context ends.
 func (g *Gateway) servePeers(ctx context.Context, l net.Listener) error {
 	done, err := inner.Serve(ctx, inner.ServerConfig{Listener: l, Handler: &peerServer{gateway: g}})
 	if err != nil {
@@ -29,48 +30,50 @@
 
 // Heartbeat implements inner.DRPCPeerServer.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
-	p.gateway.heard(r.Sender, r.Members)
-	return inner.Answer(p.gateway.table, p.gateway.now(), r), nil
+	p.gateway.queueIfAhead(r.Sender, r.Members)
+	return inner.Answer(p.gateway.members, p.gateway.now(), r), nil
 }
 
-// Place implements inner.DRPCPeerServer: it decides for the host at the other end.
+// Place implements inner.DRPCPeerServer: it places requests of the host at the other end of the stream.
 func (p *peerServer) Place(stream inner.DRPCPeer_PlaceStream) error {
-	homes := p.gateway.homes
+	homes := p.gateway.homeServer
 	ctx, cancel := context.WithCancel(stream.Context())
-	d := homes.openSession(nil, cancel)
-	defer homes.closeSession(d)
+	sess := homes.openSession(nil, cancel)
+	defer homes.closeSession(sess)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		defer cancel()
 		for {
-			verdict, ok := d.verdicts.Pop(ctx)
+			verdict, ok := sess.verdicts.Pop(ctx)
 			if !ok || stream.Send(verdict) != nil {
 				return
 			}
 		}
 	}()
-	err := p.read(ctx, stream, d)
+	err := p.handleCalls(ctx, stream, sess)
 	cancel()
 	<-done
 	return err
 }
 
-func (p *peerServer) read(ctx context.Context, stream inner.DRPCPeer_PlaceStream, d *session) error {
-	homes := p.gateway.homes
+// handleCalls handles the messages of a placement stream until it ends. The end of a run names no service when the
+// requesting host has dropped the request already.
+func (p *peerServer) handleCalls(ctx context.Context, stream inner.DRPCPeer_PlaceStream, sess *session) error {
+	homes := p.gateway.homeServer
 	for ctx.Err() == nil {
 		call, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		id := placement.RequestID{Stream: d.number, Number: call.Number}
+		id := placement.RequestID{Stream: sess.id, Number: call.Number}
 		switch {
 		case call.Ask != nil:
-			homes.ask(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
+			homes.place(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
 		case call.End != nil && call.Service == "":
-			homes.abandon(inner.FromEnd(id, call.End))
+			homes.runEndedAnyService(inner.FromEnd(id, call.End))
 		case call.End != nil:
-			homes.done(call.Service, inner.FromEnd(id, call.End))
+			homes.runEnded(call.Service, inner.FromEnd(id, call.End))
 		case call.Withdraw:
 			homes.withdraw(call.Service, id)
 		}
@@ -78,114 +81,122 @@
 	return ctx.Err()
 }
 
-// followRing is how many changes may wait for a follower that reads slowly.
-const followRing = 64
+// followerQueueSize is the number of updates that may be queued for a follower that reads slowly.
+const followerQueueSize = 64
 
-// news is what followers are told of the store.
-type news struct {
+// storeUpdate is what followers are sent about the store: changes of entries, which complete their replica up to the
+// revision, and whether the store has returned from an outage.
+type storeUpdate struct {
 	changes  []platform.Change
 	revision int64
 	returned bool
 }
 
-// followers are the hosts that hear of the store's changes from this one.
+// followers are the hosts that receive changes of the store from this one.
 type followers struct {
-	mu       sync.Mutex
-	last     uint64
-	byNumber map[uint64]*ring.Ring[news]
+	mu         sync.Mutex
+	lastNumber uint64
+	queues     map[uint64]*ring.Ring[storeUpdate]
 }
 
-// tell passes news on; a follower that is too slow loses its stream and begins anew.
-func (f *followers) tell(n news) {
+// broadcast queues an update for all followers. A follower whose queue is full is removed, which ends its stream; it
+// then follows again and receives all entries.
+func (f *followers) broadcast(u storeUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for number, r := range f.byNumber {
-		if !r.Push(n) {
-			delete(f.byNumber, number)
+	for number, queue := range f.queues {
+		if !queue.Push(u) {
+			delete(f.queues, number)
 		}
 	}
 }
 
-func (f *followers) add() (uint64, *ring.Ring[news]) {
+// add registers a follower and returns its number and its queue of updates.
+func (f *followers) add() (uint64, *ring.Ring[storeUpdate]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.last++
-	r := ring.New[news](ring.Config{Capacity: followRing})
-	f.byNumber[f.last] = r
-	return f.last, r
+	f.lastNumber++
+	queue := ring.New[storeUpdate](ring.Config{Capacity: followerQueueSize})
+	f.queues[f.lastNumber] = queue
+	return f.lastNumber, queue
 }
 
 func (f *followers) remove(number uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.byNumber, number)
+	delete(f.queues, number)
 }
 
-func (f *followers) holds(number uint64) bool {
+// contains reports whether a follower is still registered; broadcast removes those that read too slowly.
+func (f *followers) contains(number uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, held := f.byNumber[number]
-	return held
+	_, found := f.queues[number]
+	return found
 }
 
-// FollowStore implements inner.DRPCPeerServer: it tells everything known of the store, then what changes.
+// FollowStore implements inner.DRPCPeerServer: it sends all known entries of the store, then changes and, while there
+// are none, keep-alive messages.
 func (p *peerServer) FollowStore(_ *inner.FollowStoreRequest, stream inner.DRPCPeer_FollowStoreStream) error {
 	g := p.gateway
-	number, changes := g.followers.add()
+	number, updates := g.followers.add()
 	defer g.followers.remove(number)
-	everything, revision := g.roster.AllChanges()
-	if err := stream.Send(toFollowReply(news{changes: everything, revision: revision})); err != nil {
+	all, revision := g.roster.AllChanges()
+	if err := stream.Send(toFollowReply(storeUpdate{changes: all, revision: revision})); err != nil {
 		return err
 	}
-	for g.followers.holds(number) {
-		wait, cancel := context.WithTimeout(stream.Context(), followAliveEvery)
-		n, ok := changes.Pop(wait)
+	for g.followers.contains(number) {
+		waitCtx, cancel := context.WithTimeout(stream.Context(), followKeepAliveInterval)
+		u, ok := updates.Pop(waitCtx)
 		cancel()
 		if stream.Context().Err() != nil {
 			return stream.Context().Err()
 		}
 		if !ok {
-			n = news{}
+			u = storeUpdate{}
 		}
-		if err := stream.Send(toFollowReply(n)); err != nil {
+		if err := stream.Send(toFollowReply(u)); err != nil {
 			return err
 		}
 	}
-	return inner.ErrPeer.New("host %s could not keep up; following again from the start", g.settings.Host.Name)
+	return inner.ErrPeer.New("host %s dropped a follower of the store that read too slowly; it must follow again from the start", g.settings.Host.Name)
 }
 
-func toFollowReply(n news) *inner.FollowStoreReply {
-	reply := &inner.FollowStoreReply{Revision: n.revision, Returned: n.returned}
-	for _, c := range n.changes {
+func toFollowReply(u storeUpdate) *inner.FollowStoreReply {
+	reply := &inner.FollowStoreReply{Revision: u.revision, Returned: u.returned}
+	for _, c := range u.changes {
 		reply.Changes = append(reply.Changes, &inner.StoreChange{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
 	}
 	return reply
 }
 
-func fromFollowReply(reply *inner.FollowStoreReply) news {
-	n := news{revision: reply.Revision, returned: reply.Returned}
+func fromFollowReply(reply *inner.FollowStoreReply) storeUpdate {
+	u := storeUpdate{revision: reply.Revision, returned: reply.Returned}
 	for _, c := range reply.Changes {
-		n.changes = append(n.changes, platform.Change{Entry: platform.Entry{Key: c.Key, Value: c.Value, Revision: c.Revision}, Deleted: c.Deleted})
+		u.changes = append(u.changes, platform.Change{Entry: platform.Entry{Key: c.Key, Value: c.Value, Revision: c.Revision}, Deleted: c.Deleted})
 	}
-	return n
+	return u
 }
 
-// beatDuty sends heartbeats.
-func (g *Gateway) beatDuty(ctx context.Context) { g.beats.Run(ctx, g.kick, g.beat) }
+// runHeartbeats is the background task that sends heartbeats.
+func (g *Gateway) runHeartbeats(ctx context.Context) {
+	g.heartbeats.Run(ctx, g.heartbeatNow, g.sendHeartbeats)
+}
 
-func (g *Gateway) beat(ctx context.Context) {
-	recipients := g.table.Beat(g.now())
-	if g.table.TakePaused() {
-		g.book.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: g.chain.Number()})
-		g.refreshReady()
+// sendHeartbeats sends one round of heartbeats and records what has changed since the last one.
+func (g *Gateway) sendHeartbeats(ctx context.Context) {
+	recipients := g.members.Beat(g.now())
+	if g.members.TakePaused() {
+		g.records.Add(record.Record{Kind: record.HostPaused, Cause: "HeartbeatLate", Note: g.chain.Number()})
+		g.updateReady()
 	}
-	g.explainMembership()
-	g.beats.Round(ctx, g.withNeighbours(recipients))
+	g.recordMembershipChanges()
+	g.heartbeats.Round(ctx, g.addStoredPeers(recipients))
 }
 
-// withNeighbours adds the hosts that the store names while no peer is known.
-func (g *Gateway) withNeighbours(recipients []string) []string {
-	if len(g.table.Peers()) > 0 {
+// addStoredPeers adds the addresses of hosts that are registered in the store while no peer is known.
+func (g *Gateway) addStoredPeers(recipients []string) []string {
+	if len(g.members.Peers()) > 0 {
 		return recipients
 	}
 	for _, address := range g.roster.View().PeerAddresses {
@@ -196,9 +207,9 @@
 	return recipients
 }
 
-// explainMembership writes a record for each change of the membership.
-func (g *Gateway) explainMembership() {
-	for _, e := range g.table.TakeEvents() {
-		g.book.Add(record.OfMembership(e, g.chain.Number()))
+// recordMembershipChanges writes a change record for each change of the membership.
+func (g *Gateway) recordMembershipChanges() {
+	for _, e := range g.members.TakeEvents() {
+		g.records.Add(record.OfMembership(e, g.chain.Number()))
 	}
 }
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -9,19 +9,21 @@
 	"briarcroft/internal/roster"
 )
 
-// Times and sizes of the connections to targets.
+// Limits of the connections to targets.
 const (
-	// targetDialTimeout is how long a target may take to accept a connection; the opening packet is sent again after a second.
+	// targetDialTimeout is how long a target may take to accept a connection. It is well below the second after which
+	// TCP sends a lost SYN again, so another target is tried before that.
 	targetDialTimeout = 300 * time.Millisecond
-	// targetSilence is how long a target may leave bytes unacknowledged.
-	targetSilence = 2 * time.Second
-	// targetProof is how long after its last answer a connection may carry a request that must not run twice.
-	targetProof = 5 * time.Second
-	// targetConnections is the most connections of one host to one target.
-	targetConnections = 32
+	// targetUnackedTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
+	targetUnackedTimeout = 2 * time.Second
+	// targetRecentUseWindow is how long after its last response a connection may be reused for a request that is not
+	// repeatable: such a request must not be lost on a dead connection.
+	targetRecentUseWindow = 5 * time.Second
+	// maxTargetConnections bounds the connections of this host to one target.
+	maxTargetConnections = 32
 )
 
-// poolKey names one start of a target at one address.
+// poolKey identifies a target at an address; a target that restarts elsewhere gets a new pool.
 type poolKey struct {
 	name, address string
 }
@@ -31,7 +33,7 @@
 	close func()
 }
 
-// pools holds the connections to targets.
+// pools holds the connection pools of all targets.
 type pools struct {
 	gateway *Gateway
 	mu      sync.Mutex
@@ -40,44 +42,45 @@
 
 func newPools(g *Gateway) *pools { return &pools{gateway: g, byKey: map[poolKey]pool{}} }
 
-// get returns the pool of a target, opening it when it is new.
+// get returns the pool of a target, creating it if necessary.
 func (p *pools) get(name, address string) *backend.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := poolKey{name, address}
-	held, known := p.byKey[key]
-	if !known {
-		held.Pool, held.close = backend.New(backend.Config{
-			Address: address, MaxConnections: targetConnections, DialTimeout: targetDialTimeout, ProofTime: targetProof,
-			Silence: targetSilence, Answers: p.gateway.answers, Dial: p.gateway.config.Dial,
+	entry, found := p.byKey[key]
+	if !found {
+		entry.Pool, entry.close = backend.New(backend.Config{
+			Address: address, MaxConnections: maxTargetConnections, DialTimeout: targetDialTimeout, ProofTime: targetRecentUseWindow,
+			Silence: targetUnackedTimeout, Answers: p.gateway.responseMatches, Dial: p.gateway.config.Dial,
 		})
-		p.byKey[key] = held
+		p.byKey[key] = entry
 	}
-	return held.Pool
+	return entry.Pool
 }
 
-// answers reports whether a response belongs to a request; one that names no request may.
-func (g *Gateway) answers(r *http.Request, response *http.Response) bool {
-	id := response.Header.Get(g.dialect.AttemptHeader)
-	return id == "" || id == r.Header.Get(g.dialect.AttemptHeader)
+// responseMatches reports whether a response belongs to a request, by the attempt ID that both carry. A response
+// without an ID is accepted.
+func (g *Gateway) responseMatches(r *http.Request, response *http.Response) bool {
+	id := response.Header.Get(g.dialect.AttemptIDHeader)
+	return id == "" || id == r.Header.Get(g.dialect.AttemptIDHeader)
 }
 
-// adopt closes the pools of targets that are gone.
-func (p *pools) adopt(v *roster.View) {
-	named := map[poolKey]bool{}
+// applyView closes the pools of targets that are no longer registered at their address.
+func (p *pools) applyView(v *roster.View) {
+	registered := map[poolKey]bool{}
 	for _, list := range v.Targets {
 		for _, t := range list {
-			named[poolKey{t.Name, t.Address}] = true
+			registered[poolKey{t.Name, t.Address}] = true
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, held := range p.byKey {
-		if !named[key] {
-			held.close()
+	for key, entry := range p.byKey {
+		if !registered[key] {
+			entry.close()
 			delete(p.byKey, key)
 		}
 	}
 }
 
-func (p *pools) close() { p.adopt(&roster.View{}) }
+func (p *pools) close() { p.applyView(&roster.View{}) }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -10,18 +10,19 @@
 	"briarcroft/internal/placement"
 )
 
-// probeTimeout is how long a probe may take until its connection is given up.
+// probeTimeout is how long a health probe may take before its connection is closed.
 const probeTimeout = 400 * time.Millisecond
 
-// longestHealth bounds the bytes that are read of a health answer.
-const longestHealth = 4 << 10
+// maxHealthBytes bounds the bytes that are read of a health response or of a refusal. Their connections can be reused
+// only if they were read to the end.
+const maxHealthBytes = 4 << 10
 
-// probe asks one target for its health and load.
-func (h *home) probe(ctx context.Context, p placement.Placed) {
-	g := h.homes.gateway
+// probe requests a target's health path and passes the result and the reported load to the placement state.
+func (h *serviceHome) probe(ctx context.Context, p placement.Placed) {
+	g := h.server.gateway
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	health, load := g.askHealth(ctx, p, h.health)
+	health, load := g.checkHealth(ctx, p, h.healthPath)
 	g.stats.probes.Add(1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -29,7 +30,8 @@
 	h.sendProbes()
 }
 
-func (g *Gateway) askHealth(ctx context.Context, p placement.Placed, path string) (placement.ProbeResult, *placement.LoadReport) {
+// checkHealth sends one health request. A target that refuses it without running it is healthy but busy.
+func (g *Gateway) checkHealth(ctx context.Context, p placement.Placed, path string) (placement.ProbeResult, *placement.LoadReport) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
 		return placement.ProbeNoResponse, nil
@@ -39,13 +41,13 @@
 		return placement.ProbeNoResponse, nil
 	}
 	defer response.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, longestHealth)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxHealthBytes)); err != nil {
 		return placement.ProbeNoResponse, nil
 	}
 	if name := response.Header.Get(g.dialect.InstanceHeader); name != "" && name != p.Target {
 		return placement.ProbeOtherServer, nil
 	}
-	load := g.load(response.Header)
+	load := g.parseLoad(response.Header)
 	switch {
 	case response.StatusCode == http.StatusOK, response.Header.Get(g.dialect.NotRunHeader) != "":
 		return placement.ProbeHealthy, load
@@ -54,8 +56,8 @@
 	}
 }
 
-// load reads a target's own word on its load, or nil.
-func (g *Gateway) load(header http.Header) *placement.LoadReport {
+// parseLoad returns the load that a target reports in its response header, or nil.
+func (g *Gateway) parseLoad(header http.Header) *placement.LoadReport {
 	text := header.Get(g.dialect.LoadHeader)
 	if text == "" {
 		return nil
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -17,79 +17,81 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// defaultLimits hold until a configuration names others.
+// defaultLimits apply until a configuration sets others.
 var defaultLimits = note.Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// lineSlack is what the request line and the reader's look-ahead may take beyond the header limit, in bytes.
-const lineSlack = 4 << 10
+// requestLineBytes is what the request line and the reader's buffer may take in addition to the header limit, in bytes.
+const requestLineBytes = 4 << 10
 
-// request is what a caller sent.
+// request is a request of a caller with its whole body.
 type request struct {
-	id      string
-	method  string
-	uri     string
-	path    string
-	host    string
-	header  http.Header
-	body    []byte
-	caller  string
+	// attemptID is the caller's identifier of this attempt; it may be empty.
+	attemptID     string
+	method        string
+	uri           string
+	path          string
+	host          string
+	header        http.Header
+	body          []byte
+	callerAddress string
+	// arrived is the time of Gateway.now at which the first byte arrived.
 	arrived time.Duration
-	// patience is how long the caller will wait; zero means that it does not say.
-	patience time.Duration
-	// last is set when the caller sends nothing more on its connection.
-	last bool
-	// release gives back the memory of the body.
+	// timeout is how long the caller waits for the response; zero means that it sent no deadline header.
+	timeout time.Duration
+	// closeAfter is set when the caller sends no further request on its connection.
+	closeAfter bool
+	// release returns the memory of the body to the budget.
 	release func()
 }
 
-// errHeaderTooLong reports a request head beyond the limit.
+// errHeaderTooLong reports that a request head exceeds the limit.
 var errHeaderTooLong = errors.New("request head is too long")
 
-// meteredReader stops reading once a request head has taken more than it may.
-type meteredReader struct {
+// limitedConn fails to read with errHeaderTooLong once remaining bytes were read, which bounds request heads.
+type limitedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
 // Read implements io.Reader.
-func (m *meteredReader) Read(p []byte) (int, error) {
-	if m.left <= 0 {
+func (c *limitedConn) Read(p []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, errHeaderTooLong
 	}
-	n, err := m.Conn.Read(p[:min(len(p), m.left)])
-	m.left -= n
+	n, err := c.Conn.Read(p[:min(len(p), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
 
-// rejection is a request that is answered without being understood; its connection ends.
+// rejection is the error response to a request that cannot be read; its connection is closed.
 type rejection struct {
 	status int
 	reason string
-	// retryAfter is when to come back; zero where coming back makes no sense.
+	// retryAfter is when the caller may try again; zero if trying again cannot help.
 	retryAfter time.Duration
 }
 
-// readRequest reads one request whole. It returns neither when the caller has gone.
+// readRequest reads one request with its body. Both results are nil when the connection has ended or been idle too long.
 func (c *callerConn) readRequest() (*request, *rejection) {
 	limits := c.gateway.limits()
-	if !c.awaitFirst(limits) {
+	if !c.awaitFirstByte(limits) {
 		return nil, nil
 	}
 	arrived := c.gateway.now()
-	_ = c.metered.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
+	_ = c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	r, err := http.ReadRequest(c.reader)
 	if err != nil {
-		return nil, rejectionOf(err)
+		return nil, rejectionFor(err)
 	}
-	// Bodies have a limit of their own.
-	c.metered.left = int(^uint(0) >> 1)
-	_ = c.metered.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
+	// The body has its own limit, in readBody.
+	c.conn.remaining = int(^uint(0) >> 1)
+	_ = c.conn.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
 	q := &request{
-		id: r.Header.Get(c.gateway.dialect.AttemptHeader), method: r.Method, uri: r.RequestURI, path: r.URL.Path, host: r.Host,
-		header: r.Header, caller: c.address, arrived: arrived, last: r.Close || !r.ProtoAtLeast(1, 1), release: func() {},
+		attemptID: r.Header.Get(c.gateway.dialect.AttemptIDHeader), method: r.Method, uri: r.RequestURI, path: r.URL.Path, host: r.Host,
+		header: r.Header, callerAddress: c.address, arrived: arrived, closeAfter: r.Close || !r.ProtoAtLeast(1, 1), release: func() {},
 	}
 	if ms, err := strconv.ParseFloat(r.Header.Get(c.gateway.dialect.DeadlineHeader), 64); err == nil && ms > 0 {
-		q.patience = time.Duration(ms * float64(time.Millisecond))
+		q.timeout = time.Duration(ms * float64(time.Millisecond))
 	}
 	if r.ContentLength == 0 {
 		return q, nil
@@ -97,15 +99,16 @@
 	return c.readBody(q, r, limits)
 }
 
-// awaitFirst waits for the first byte of a request and reports whether one came.
-func (c *callerConn) awaitFirst(limits note.Limits) bool {
-	c.metered.left = limits.HeaderBytes + lineSlack
+// awaitFirstByte waits for the first byte of a request and reports whether one came.
+func (c *callerConn) awaitFirstByte(limits note.Limits) bool {
+	c.conn.remaining = limits.HeaderBytes + requestLineBytes
 	c.setIdleDeadline(limits.IdleTimeout)
 	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-func rejectionOf(err error) *rejection {
+// rejectionFor returns the rejection for a read error, or nil when the connection has ended.
+func rejectionFor(err error) *rejection {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, errHeaderTooLong):
@@ -118,13 +121,13 @@
 	return &rejection{status: http.StatusBadRequest, reason: "NotARequest"}
 }
 
-// readBody reads the body of a request whole.
+// readBody reads the whole body of a request within the limits and the memory budget.
 func (c *callerConn) readBody(q *request, r *http.Request, limits note.Limits) (*request, *rejection) {
 	if r.ContentLength > int64(limits.BodyBytes) {
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		if _, err := io.WriteString(c.metered.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(c.conn.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, nil
 		}
 	}
@@ -132,31 +135,31 @@
 	if reserved < 0 {
 		reserved = int64(c.gateway.settings.Limits.KeyedBodyBytes)
 	}
-	if !c.gateway.bodies.take(reserved) {
-		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedReturn}
+	if !c.gateway.bodies.acquire(reserved) {
+		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedRetryAfter}
 	}
-	q.release = func() { c.gateway.bodies.give(reserved) }
+	q.release = func() { c.gateway.bodies.release(reserved) }
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(limits.BodyBytes)+1))
 	switch {
 	case err != nil:
 		q.release()
-		return nil, rejectionOf(err)
+		return nil, rejectionFor(err)
 	case len(body) > limits.BodyBytes:
 		q.release()
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
 	}
-	if more := int64(len(body)) - reserved; more > 0 {
-		if !c.gateway.bodies.take(more) {
+	if extra := int64(len(body)) - reserved; extra > 0 {
+		if !c.gateway.bodies.acquire(extra) {
 			q.release()
-			return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedReturn}
+			return nil, &rejection{status: http.StatusServiceUnavailable, reason: "NoMemoryForBody", retryAfter: refusedRetryAfter}
 		}
-		reserved += more
+		reserved += extra
 	}
 	q.body = body
 	return q, nil
 }
 
-// limits returns what callers may send.
+// limits returns the limits of requests that are in force.
 func (g *Gateway) limits() note.Limits {
 	if l := g.rules.Load().limits; l.HeaderBytes > 0 && l.IdleTimeout > 0 {
 		return l
@@ -164,10 +167,11 @@
 	return defaultLimits
 }
 
-// fingerprint is the same for requests with the same caller, path and body.
+// fingerprint returns a hash of the caller's address, host, method, URI and body. It recognises repetitions of a
+// request that makes targets crash.
 func (q *request) fingerprint() uint64 {
 	d := xxhash.New()
-	for _, part := range []string{q.caller, q.host, q.method, q.uri} {
+	for _, part := range []string{q.callerAddress, q.host, q.method, q.uri} {
 		// A hash never fails to write.
 		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
@@ -176,26 +180,28 @@
 	return d.Sum64()
 }
 
-// bodyBudget bounds the memory that request bodies take.
+// bodyBudget bounds the memory that request bodies take, in bytes.
 type bodyBudget struct {
 	limit int64
-	held  atomic.Int64
+	used  atomic.Int64
 }
 
-func (b *bodyBudget) take(n int64) bool {
-	if b.held.Add(n) > b.limit {
-		b.held.Add(-n)
+// acquire reserves n bytes and reports whether they were available.
+func (b *bodyBudget) acquire(n int64) bool {
+	if b.used.Add(n) > b.limit {
+		b.used.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (b *bodyBudget) give(n int64) { b.held.Add(-n) }
+func (b *bodyBudget) release(n int64) { b.used.Add(-n) }
 
 // newReader returns the buffered reader of a caller's connection.
-func newReader(m *meteredReader) *bufio.Reader { return bufio.NewReaderSize(m, callerReadBytes) }
+func newReader(c *limitedConn) *bufio.Reader { return bufio.NewReaderSize(c, callerReadBytes) }
 
-// requestContext ends when the caller leaves, for requests that may be given up.
+// requestContext returns the context for a request. It ends when the caller disconnects only if the request is
+// repeatable; any other request is run to its end, since it may already have had an effect.
 func (c *callerConn) requestContext(repeatable bool) context.Context {
 	if repeatable {
 		return c.ctx
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -9,7 +9,8 @@
 	"briarcroft/internal/note"
 )
 
-// ruleIndex finds the rule of a request: by host, then the longest path.
+// ruleIndex finds the rule of a request: by its host, then by the longest matching path prefix. It also holds the
+// limits and the number of the configuration that the rules belong to.
 type ruleIndex struct {
 	byHost map[string][]note.Rule
 	limits note.Limits
@@ -30,10 +31,10 @@
 	return x
 }
 
-// match returns the rule for a request.
+// match returns the rule for a request, whose host may include a port.
 func (x *ruleIndex) match(host, path string) (note.Rule, bool) {
-	rules, known := x.byHost[host]
-	if !known {
+	rules, found := x.byHost[host]
+	if !found {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			rules = x.byHost[name]
 		}
@@ -46,36 +47,38 @@
 	return note.Rule{}, false
 }
 
-// shares divides the requests of rules that name several services.
-type shares struct {
-	mu     sync.Mutex
-	byRule map[string][]float64
+// trafficSplit divides the requests of rules that name several services, by smooth weighted round-robin.
+type trafficSplit struct {
+	mu sync.Mutex
+	// credits holds the current credit of each service of a rule, by the rule's name.
+	credits map[string][]float64
 }
 
-// choose returns the service for the next request of a rule. Each service's credit grows by its weight and the
-// richest one pays for the request, so that any few requests in a row are divided as the weights say.
-func (s *shares) choose(r note.Rule) string {
+// choose returns the service for the next request of a rule. Each service's credit grows by its weight; the service
+// with the most credit is chosen and loses the sum of all weights. Even short runs of requests are divided by weight
+// in this way.
+func (s *trafficSplit) choose(r note.Rule) string {
 	if len(r.Shares) == 0 {
 		return r.Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.byRule == nil {
-		s.byRule = map[string][]float64{}
+	if s.credits == nil {
+		s.credits = map[string][]float64{}
 	}
-	credit := s.byRule[r.Name]
+	credit := s.credits[r.Name]
 	if len(credit) != len(r.Shares) {
 		credit = make([]float64, len(r.Shares))
-		s.byRule[r.Name] = credit
+		s.credits[r.Name] = credit
 	}
-	total, best := 0.0, 0
+	total, chosen := 0.0, 0
 	for i, share := range r.Shares {
 		credit[i] += float64(share.Weight)
 		total += float64(share.Weight)
-		if credit[i] > credit[best] {
-			best = i
+		if credit[i] > credit[chosen] {
+			chosen = i
 		}
 	}
-	credit[best] -= total
-	return r.Shares[best].Service
+	credit[chosen] -= total
+	return r.Shares[chosen].Service
 }
