--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
+	"briarcroft/internal/worker"
 )
 
 // demandEvery is how often the rates of the services are looked at.
@@ -15,7 +15,7 @@
 func (h *Host) demandDuty(ctx context.Context) {
 	demand := host.NewDemand()
 	last := map[string]int64{}
-	for duty.Sleep(ctx, demandEvery) {
+	for worker.Sleep(ctx, demandEvery) {
 		live := h.table.Live(h.now())
 		for _, spec := range h.steering.Configuration().Services {
 			service := h.steering.Services()[spec.Name]
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/record"
+	"briarcroft/internal/worker"
 )
 
 // Times of the duties.
@@ -18,7 +18,7 @@
 	noteEvery     = time.Second
 )
 
-func (h *Host) startDuties(d *duty.Set) {
+func (h *Host) startDuties(d *worker.Set) {
 	d.Start(h.beatDuty)
 	d.Start(h.noteDuty)
 	d.Start(h.watchDuty)
@@ -32,7 +32,7 @@
 // tickDuty runs the timers of the services.
 func (h *Host) tickDuty(ctx context.Context) {
 	wait := tickEvery
-	for duty.Sleep(ctx, wait) {
+	for worker.Sleep(ctx, wait) {
 		wait = idleTickEvery
 		if h.steering.Tick() {
 			wait = tickEvery
@@ -102,7 +102,7 @@
 		if list, err := h.config.HostList.Read(ctx); err == nil {
 			leaving = h.takeHostList(list, leaving)
 		}
-		if !duty.Sleep(ctx, hostListEvery) {
+		if !worker.Sleep(ctx, hostListEvery) {
 			return
 		}
 	}
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"briarcroft/internal/claim"
-	"briarcroft/internal/duty"
 	"briarcroft/internal/platform"
+	"briarcroft/internal/worker"
 
 	"golang.org/x/time/rate"
 )
@@ -65,7 +65,7 @@
 		if err == nil {
 			return settled(k, own, result)
 		}
-		if !duty.Sleep(ctx, settlePause) {
+		if !worker.Sleep(ctx, settlePause) {
 			break
 		}
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"briarcroft/internal/claim"
-	"briarcroft/internal/duty"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/record"
+	"briarcroft/internal/worker"
 )
 
 // Sizes and times of handing a table over.
@@ -25,7 +25,7 @@
 	h.explain(record.HostLeft, "GracefulStop")
 	h.kickBeat()
 	// Callers keep an answer for its age; until then they still come here.
-	duty.Sleep(force, h.settings.Limits.AddressMaxAge+answerMargin)
+	worker.Sleep(force, h.settings.Limits.AddressMaxAge+answerMargin)
 	idle := h.claims.Seal()
 	h.explain(record.HostSealed, "GracefulStop")
 	ctx, cancel := context.WithTimeout(force, h.settings.Limits.StopTimeout)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,7 +12,6 @@
 	"sync/atomic"
 	"time"
 
-	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/meter"
@@ -25,6 +24,7 @@
 	"briarcroft/internal/route"
 	"briarcroft/internal/settings"
 	"briarcroft/internal/socket"
+	"briarcroft/internal/worker"
 
 	"github.com/joomcode/errorx"
 	"github.com/rs/zerolog"
@@ -259,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	d := duty.New()
+	d := worker.New()
 	defer d.End()
 	for _, duty := range []func(context.Context){g.beatDuty, g.watchDuty, g.followDuty, g.catchUpDuty, g.tickDuty, g.rosterDuty} {
 		d.Start(duty)
--- a/internal/duty/duty.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package duty runs the goroutines of a host that begin and end with it.
-package duty
+// Package worker runs the goroutines of a host that begin and end with it.
+package worker
 
 import (
 	"context"
