--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -13,8 +13,8 @@
 
 	"briarcroft/internal/backend"
 	"briarcroft/internal/certificate"
-	"briarcroft/internal/claim"
 	"briarcroft/internal/host"
+	"briarcroft/internal/idempotency"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/meter"
 	"briarcroft/internal/note"
@@ -67,10 +67,10 @@
 	table       *host.Table
 	beats       *inner.Heartbeats
 	steering    *steering.Steering
-	claims      *claim.Table
-	sealed      *claim.Sealed
+	claims      *idempotency.Table
+	sealed      *idempotency.Sealed
 	parts       *sealParts
-	quarantine  *claim.Quarantine
+	quarantine  *idempotency.Quarantine
 	plain       *plainClaims
 	book        *record.Book
 	histograms  *meter.Histograms
@@ -108,7 +108,7 @@
 	h := &Host{
 		config: c, settings: c.Settings, start: time.Now(), chain: &note.Chain{},
 		hints: ring.New[hint](ring.Config{Capacity: ringSize}), kick: ring.New[struct{}](ring.Config{Capacity: 1}),
-		quarantine: claim.NewQuarantine(), histograms: meter.NewHistograms(), peerCounts: newPeerCounts(), homes: homes{first: map[string]string{}}, parts: newSealParts(),
+		quarantine: idempotency.NewQuarantine(), histograms: meter.NewHistograms(), peerCounts: newPeerCounts(), homes: homes{first: map[string]string{}}, parts: newSealParts(),
 	}
 	h.incarnation = uint64(h.start.UnixMilli())<<16 | uint64(rand.Uint32N(1<<16))
 	if err := h.listen(); err != nil {
@@ -159,11 +159,11 @@
 		Book: h.book, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.kickBeat, Dial: h.config.Dial,
 	})
 	h.archive = note.NewArchive(note.ArchiveConfig{Store: h.config.Store})
-	h.claims = claim.New(claim.Config{
+	h.claims = idempotency.New(idempotency.Config{
 		Host: s.Host.Name, Incarnation: h.incarnation, Window: s.Limits.GrantWindow, LongestRun: longestRun,
 		MaxEntries: s.Limits.KeptEntries, MaxKeptBytes: s.Limits.KeptBytes,
 	})
-	h.sealed = claim.NewSealed(claim.SealedConfig{MaxEntries: 4 * s.Limits.KeptEntries})
+	h.sealed = idempotency.NewSealed(idempotency.SealedConfig{MaxEntries: 4 * s.Limits.KeptEntries})
 	h.plain = newPlainClaims(h.config.Store, s.Limits.ClaimsPerSec)
 	h.budget = meter.NewBudget(meter.BudgetConfig{
 		ProbesPerSec: s.Budget.ProbesPerSec, BytesPerSec: s.Budget.BytesPerSec, CoreShare: s.Budget.CoreShare, Epoch: h.start,
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"briarcroft/internal/address"
-	"briarcroft/internal/claim"
+	"briarcroft/internal/idempotency"
 	"briarcroft/internal/platform/standin"
 	"briarcroft/internal/steering"
 )
@@ -145,7 +145,7 @@
 		switch outcome {
 		case "answered":
 			answers++
-		case string(claim.NotRun):
+		case string(idempotency.NotRun):
 			refusals++
 		}
 	}
--- a/internal/claim/key.go
+++ b/internal/idempotency/key.go
@@ -1,6 +1,6 @@
-// Package claim keeps the promise that a non-idempotent request runs at most once.
+// Package idempotency keeps the promise that a non-idempotent request runs at most once.
 // It knows no sockets and no wall clock: the issuing host's monotonic clock is passed in.
-package claim
+package idempotency
 
 import (
 	"fmt"
--- a/internal/claim/quarantine.go
+++ b/internal/idempotency/quarantine.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 import (
 	"sync"
