--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"briarcroft/internal/host"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 )
 
 // demandEvery is how often the rates of the services are looked at.
@@ -15,7 +15,7 @@
 func (h *Host) demandDuty(ctx context.Context) {
 	demand := host.NewDemand()
 	last := map[string]int64{}
-	for worker.Sleep(ctx, demandEvery) {
+	for task.Sleep(ctx, demandEvery) {
 		live := h.table.Live(h.now())
 		for _, spec := range h.steering.Configuration().Services {
 			service := h.steering.Services()[spec.Name]
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -7,7 +7,7 @@
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/record"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 )
 
 // Times of the duties.
@@ -18,7 +18,7 @@
 	noteEvery     = time.Second
 )
 
-func (h *Host) startDuties(d *worker.Set) {
+func (h *Host) startDuties(d *task.Set) {
 	d.Start(h.beatDuty)
 	d.Start(h.noteDuty)
 	d.Start(h.watchDuty)
@@ -32,7 +32,7 @@
 // tickDuty runs the timers of the services.
 func (h *Host) tickDuty(ctx context.Context) {
 	wait := tickEvery
-	for worker.Sleep(ctx, wait) {
+	for task.Sleep(ctx, wait) {
 		wait = idleTickEvery
 		if h.steering.Tick() {
 			wait = tickEvery
@@ -102,7 +102,7 @@
 		if list, err := h.config.HostList.Read(ctx); err == nil {
 			leaving = h.takeHostList(list, leaving)
 		}
-		if !worker.Sleep(ctx, hostListEvery) {
+		if !task.Sleep(ctx, hostListEvery) {
 			return
 		}
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -23,7 +23,7 @@
 	"briarcroft/internal/ring"
 	"briarcroft/internal/settings"
 	"briarcroft/internal/steering"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 
 	"github.com/joomcode/errorx"
 	"github.com/rs/zerolog"
@@ -215,7 +215,7 @@
 
 // Serve runs the host until stop ends, then stops gracefully; it returns at once when force ends.
 func (h *Host) Serve(stop, force context.Context) error {
-	duties := worker.New()
+	duties := task.New()
 	defer duties.End()
 	innerDone, err := inner.Serve(duties.Context(), inner.ServerConfig{Listener: h.inner, Handler: &peerServer{host: h}, TLS: h.peerTLS})
 	if err != nil {
@@ -239,7 +239,7 @@
 	return err
 }
 
-func (h *Host) waitInner(d *worker.Set, done <-chan error) {
+func (h *Host) waitInner(d *task.Set, done <-chan error) {
 	d.End()
 	if err := <-done; err != nil && !errors.Is(err, net.ErrClosed) {
 		h.config.Logger.Debug().Err(err).Msg("inner protocol stopped")
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -8,7 +8,7 @@
 
 	"briarcroft/internal/idempotency"
 	"briarcroft/internal/platform"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 
 	"golang.org/x/time/rate"
 )
@@ -65,7 +65,7 @@
 		if err == nil {
 			return settled(k, own, result)
 		}
-		if !worker.Sleep(ctx, settlePause) {
+		if !task.Sleep(ctx, settlePause) {
 			break
 		}
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -8,7 +8,7 @@
 	"briarcroft/internal/idempotency"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/record"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 )
 
 // Sizes and times of handing a table over.
@@ -25,7 +25,7 @@
 	h.explain(record.HostLeft, "GracefulStop")
 	h.kickBeat()
 	// Callers keep an answer for its age; until then they still come here.
-	worker.Sleep(force, h.settings.Limits.AddressMaxAge+answerMargin)
+	task.Sleep(force, h.settings.Limits.AddressMaxAge+answerMargin)
 	idle := h.claims.Seal()
 	h.explain(record.HostSealed, "GracefulStop")
 	ctx, cancel := context.WithTimeout(force, h.settings.Limits.StopTimeout)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,7 +24,7 @@
 	"briarcroft/internal/route"
 	"briarcroft/internal/settings"
 	"briarcroft/internal/socket"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 
 	"github.com/joomcode/errorx"
 	"github.com/rs/zerolog"
@@ -259,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	d := worker.New()
+	d := task.New()
 	defer d.End()
 	for _, duty := range []func(context.Context){g.beatDuty, g.watchDuty, g.followDuty, g.catchUpDuty, g.tickDuty, g.rosterDuty} {
 		d.Start(duty)
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -12,7 +12,7 @@
 	"briarcroft/internal/ring"
 	"briarcroft/internal/roster"
 	"briarcroft/internal/route"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 )
 
 // Times of the homes.
@@ -246,7 +246,7 @@
 			g.homes.woken.Pop(woken)
 			cancel()
 		} else {
-			worker.Sleep(ctx, wait)
+			task.Sleep(ctx, wait)
 		}
 		wait = idleTickEvery
 		for _, h := range g.homes.all() {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"briarcroft/internal/record"
-	"briarcroft/internal/worker"
+	"briarcroft/internal/task"
 )
 
 // Times of a graceful stop.
@@ -29,11 +29,11 @@
 	g.book.Add(record.Record{Kind: record.HostLeft, Cause: "GracefulStop", Note: g.chain.Number()})
 	limit := g.tunable.Load().Limits.StopTimeout - stopMargin
 	hearing := min(limit/2, keptAtMost*g.tunable.Load().Limits.AddressMaxAge)
-	worker.Sleep(force, hearing)
+	task.Sleep(force, hearing)
 	front()
 	g.closeIdle()
 	for force.Err() == nil && g.now()-started < limit && g.open.Load() > 0 {
-		worker.Sleep(force, stopCheck)
+		task.Sleep(force, stopCheck)
 	}
 }
 
--- a/internal/worker/worker.go
+++ b/internal/task/task.go
@@ -1,5 +1,5 @@
-// Package worker runs the goroutines of a host that begin and end with it.
-package worker
+// Package task runs the goroutines of a host that begin and end with it.
+package task
 
 import (
 	"context"
