--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -64,7 +64,7 @@
 	chain       *note.Chain
 	inForce     atomic.Int64
 	archive     *note.Archive
-	table       *host.Membership
+	table       *host.MemberTable
 	beats       *inner.Heartbeats
 	steering    *steering.Steering
 	claims      *idempotency.Table
@@ -172,7 +172,7 @@
 	if announced == "" {
 		announced = h.inner.Addr().String()
 	}
-	h.table = host.NewMembership(host.Config{
+	h.table = host.NewMemberTable(host.Config{
 		Self: host.Member{
 			Name: s.Host.Name, Listen: h.listener.Addr().String(), Inner: announced,
 			Domain: s.Host.Domain, Region: s.Host.Region, Incarnation: h.incarnation,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -94,7 +94,7 @@
 	book        *record.Book
 	chain       *note.Chain
 	roster      *roster.Roster
-	table       *host.Membership
+	table       *host.MemberTable
 	beats       *inner.Heartbeats
 	client      *inner.Client
 	kick        *ring.Queue[struct{}]
@@ -139,7 +139,7 @@
 	g.trace, closeTrace = newTrace(c.Logger)
 	g.book, closeBook = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: bookRecords, Logger: c.Logger})
 	g.client, closeClient = inner.NewClient(inner.ClientConfig{Dial: c.Dial})
-	g.table = host.NewMembership(host.Config{
+	g.table = host.NewMemberTable(host.Config{
 		Self: host.Member{
 			Name: c.Settings.Host.Name, Listen: c.Settings.Host.Listen, Inner: c.Settings.Host.PeerAddress(),
 			Domain: c.Settings.Host.Domain, Region: c.Settings.Host.Region, Incarnation: g.incarnation,
--- a/internal/host/gossip.go
+++ b/internal/host/gossip.go
@@ -59,7 +59,7 @@
 }
 
 // newestPeers returns the members to tell of: the own one first, then those that advanced last, at most maxSent.
-func (t *Membership) newestPeers() []*peer {
+func (t *MemberTable) newestPeers() []*peer {
 	peers := make([]*peer, 0, len(t.peers)+1)
 	for _, p := range t.peers {
 		if !p.dead {
@@ -75,7 +75,7 @@
 }
 
 // OutgoingGossip returns what to tell a peer: the own member and recent changes in full, the rest as pulses.
-func (t *Membership) OutgoingGossip(now time.Duration) Gossip {
+func (t *MemberTable) OutgoingGossip(now time.Duration) Gossip {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var news Gossip
@@ -90,7 +90,7 @@
 }
 
 // HandleGossip takes in what a peer told and returns what that peer does not know yet.
-func (t *Membership) HandleGossip(now time.Duration, sender string, news Gossip) Gossip {
+func (t *MemberTable) HandleGossip(now time.Duration, sender string, news Gossip) Gossip {
 	unknown := t.Merge(now, sender, news)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +115,7 @@
 }
 
 // FullGossip returns the members with the given IDs, the own one first.
-func (t *Membership) FullGossip(ids []MemberHash) Gossip {
+func (t *MemberTable) FullGossip(ids []MemberHash) Gossip {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	news := Gossip{Members: []Member{t.self}}
@@ -128,7 +128,7 @@
 }
 
 // mergeDigests advances the members that the pulses name and returns the IDs that name none.
-func (t *Membership) mergeDigests(now time.Duration, pulses []Digest) []MemberHash {
+func (t *MemberTable) mergeDigests(now time.Duration, pulses []Digest) []MemberHash {
 	if len(pulses) == 0 {
 		return nil
 	}
--- a/internal/host/home.go
+++ b/internal/host/home.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minLocalAddresses is the most addresses in one answer.
-const minLocalAddresses = 5
+// maxLocalAddresses is the most addresses in one answer.
+const maxLocalAddresses = 5
 
 // Rank orders members for a name by rendezvous hash: each member's place depends on itself and the name alone,
 // so that a join or a leave moves only what it must.
@@ -51,7 +51,7 @@
 	first := Rank(service+"\x00"+domain, ranked[:homes])
 	slices.SortStableFunc(first, func(a, b Member) int { return cmp.Compare(domainDistance(a, domain), domainDistance(b, domain)) })
 	list := append(first, ranked[homes:]...)
-	list = list[:min(len(list), max(homes, minLocalAddresses))]
+	list = list[:min(len(list), max(homes, maxLocalAddresses))]
 	away = Rank(service, away)
 	return append(list, away[:min(len(away), maxRemoteAddresses)]...)
 }
--- a/internal/host/membership.go
+++ b/internal/host/table.go
@@ -34,8 +34,8 @@
 	listedLeaving bool
 }
 
-// Membership is what one entry host knows of all others. It is safe for concurrent use.
-type Membership struct {
+// MemberTable is what one entry host knows of all others. It is safe for concurrent use.
+type MemberTable struct {
 	mu        sync.Mutex
 	config    Config
 	self      Member
@@ -56,43 +56,43 @@
 	live []Member
 }
 
-// NewMembership returns a table that knows only its own host.
-func NewMembership(c Config) *Membership {
-	return &Membership{config: c, self: c.Self, peers: map[string]*peer{}}
+// NewMemberTable returns a table that knows only its own host.
+func NewMemberTable(c Config) *MemberTable {
+	return &MemberTable{config: c, self: c.Self, peers: map[string]*peer{}}
 }
 
 // Self returns the own member as it is now.
-func (t *Membership) Self() Member {
+func (t *MemberTable) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
 // SetNote sets the number of the note in force here.
-func (t *Membership) SetNote(number int) { t.update(func(m *Member) { m.Note = max(m.Note, number) }) }
+func (t *MemberTable) SetNote(number int) { t.update(func(m *Member) { m.Note = max(m.Note, number) }) }
 
 // SetReady sets whether this host may be in address answers.
-func (t *Membership) SetReady(ready bool) { t.update(func(m *Member) { m.Ready = ready }) }
+func (t *MemberTable) SetReady(ready bool) { t.update(func(m *Member) { m.Ready = ready }) }
 
 // SetHomeDemands sets which services' load asks for more homes.
-func (t *Membership) SetHomeDemands(wants []HomeDemand) {
+func (t *MemberTable) SetHomeDemands(wants []HomeDemand) {
 	t.update(func(m *Member) { m.Wants = wants })
 }
 
 // SetSeeds replaces the addresses that are asked first.
-func (t *Membership) SetSeeds(seeds []string) {
+func (t *MemberTable) SetSeeds(seeds []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.config.Seeds = seeds
 }
 
 // SetStoreLost sets whether this host can't reach the platform's store.
-func (t *Membership) SetStoreLost(lost bool) { t.update(func(m *Member) { m.StoreLost = lost }) }
+func (t *MemberTable) SetStoreLost(lost bool) { t.update(func(m *Member) { m.StoreLost = lost }) }
 
 // Leave marks the own host as leaving.
-func (t *Membership) Leave() { t.update(func(m *Member) { m.Leaving = true }) }
+func (t *MemberTable) Leave() { t.update(func(m *Member) { m.Leaving = true }) }
 
-func (t *Membership) update(change func(*Member)) {
+func (t *MemberTable) update(change func(*Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(&t.self)
@@ -101,7 +101,7 @@
 
 // BeginRound begins a round of heartbeats and returns the inner addresses to send to.
 // It notices when this host was paused since the last round.
-func (t *Membership) BeginRound(now time.Duration) []string {
+func (t *MemberTable) BeginRound(now time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.started && now-t.lastRound > pauseThreshold {
@@ -121,7 +121,7 @@
 }
 
 // RoundInterval returns how long to wait for the next round of heartbeats.
-func (t *Membership) RoundInterval() time.Duration {
+func (t *MemberTable) RoundInterval() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.discovered || t.quietRounds < discoveryRounds {
@@ -131,7 +131,7 @@
 }
 
 // restartTimeouts gives every peer a new chance after an own pause, so that none is taken for dead that was only unheard.
-func (t *Membership) restartTimeouts(now time.Duration) {
+func (t *MemberTable) restartTimeouts(now time.Duration) {
 	for _, p := range t.peers {
 		if !p.dead {
 			p.lastAdvance = now
@@ -140,7 +140,7 @@
 }
 
 // ResetPaused reports whether the host was paused since the last call; the note and the peers must be read again.
-func (t *Membership) ResetPaused() bool {
+func (t *MemberTable) ResetPaused() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	paused := t.paused
@@ -149,14 +149,14 @@
 }
 
 // HeartbeatOverdue reports whether the host's own heartbeat is late, which means that it was paused and has not noticed yet.
-func (t *Membership) HeartbeatOverdue(now time.Duration) bool {
+func (t *MemberTable) HeartbeatOverdue(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.started && now-t.lastRound > pauseThreshold
 }
 
 // recipients picks a few live peers of each failure domain, one dead one, and the seeds while no peer is known.
-func (t *Membership) recipients() []string {
+func (t *MemberTable) recipients() []string {
 	byDomain := map[string][]string{}
 	var dead []string
 	for _, name := range t.peerNames() {
@@ -184,7 +184,7 @@
 	return slices.DeleteFunc(slices.Compact(list), func(a string) bool { return a == t.self.Inner })
 }
 
-func (t *Membership) peerNames() []string {
+func (t *MemberTable) peerNames() []string {
 	names := make([]string, 0, len(t.peers))
 	for name := range t.peers {
 		names = append(names, name)
@@ -202,7 +202,7 @@
 	return keys
 }
 
-func (t *Membership) sample(list []string, count int) []string {
+func (t *MemberTable) sample(list []string, count int) []string {
 	list = slices.Clone(list)
 	t.config.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(count, len(list))]
@@ -210,11 +210,11 @@
 
 // deadTimeout returns how long a member lives without a new heartbeat. It grows with a fleet so large that
 // a heartbeat cannot tell of every member.
-func (t *Membership) deadTimeout() time.Duration {
+func (t *MemberTable) deadTimeout() time.Duration {
 	return deadAfter * time.Duration(max(maxGossipMembers, len(t.peers))) / maxGossipMembers
 }
 
-func (t *Membership) expire(now time.Duration) {
+func (t *MemberTable) expire(now time.Duration) {
 	for name, p := range t.peers {
 		age := now - p.lastAdvance
 		if !p.dead && age > t.deadTimeout() {
@@ -229,7 +229,7 @@
 
 // Merge takes in a heartbeat or its reply; sender is the name of the host that sent it.
 // It returns the pulses that name no known member.
-func (t *Membership) Merge(now time.Duration, sender string, news Gossip) []MemberHash {
+func (t *MemberTable) Merge(now time.Duration, sender string, news Gossip) []MemberHash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastReceived = now
@@ -242,7 +242,7 @@
 	return t.mergeDigests(now, news.Digests)
 }
 
-func (t *Membership) mergeMember(now time.Duration, m Member, direct bool) {
+func (t *MemberTable) mergeMember(now time.Duration, m Member, direct bool) {
 	p, known := t.peers[m.Name]
 	if !known {
 		t.peers[m.Name] = &peer{member: m, hash: m.hash(), lastAdvance: now, stateChanged: now}
@@ -267,7 +267,7 @@
 	}
 }
 
-func (t *Membership) appendEvents(p *peer, m Member, replaced bool) {
+func (t *MemberTable) appendEvents(p *peer, m Member, replaced bool) {
 	switch {
 	case replaced:
 		t.events = append(t.events, Event{Joined, m})
@@ -281,7 +281,7 @@
 
 // HeartbeatFailed notes that a heartbeat to an inner address got no answer.
 // A host that refuses connections is not yet dead: it dies when no peer has heard it.
-func (t *Membership) HeartbeatFailed(now time.Duration, inner string) {
+func (t *MemberTable) HeartbeatFailed(now time.Duration, inner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
@@ -293,7 +293,7 @@
 
 // SetHostList takes in the platform's list: the inner addresses of its entry hosts, to find peers by beside the seeds,
 // and the names of the hosts that it calls leaving.
-func (t *Membership) SetHostList(listed []string, names map[string]bool) {
+func (t *MemberTable) SetHostList(listed []string, names map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hostListAddresses = listed
@@ -304,14 +304,14 @@
 }
 
 // Isolated reports whether this host knew peers and now hears none.
-func (t *Membership) Isolated(now time.Duration) bool {
+func (t *MemberTable) Isolated(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.peers) > 0 && now-t.lastReceived > t.deadTimeout()
 }
 
 // Live returns the ready hosts that are not leaving, the own one among them, sorted by name.
-func (t *Membership) Live(now time.Duration) []Member {
+func (t *MemberTable) Live(now time.Duration) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.live != nil {
@@ -332,7 +332,7 @@
 }
 
 // Find returns a member by name, dead or alive.
-func (t *Membership) Find(name string) (Member, bool) {
+func (t *MemberTable) Find(name string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if name == t.self.Name {
@@ -346,7 +346,7 @@
 }
 
 // Peers returns every known peer that is not dead, sorted by name.
-func (t *Membership) Peers() []Member {
+func (t *MemberTable) Peers() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Member
@@ -359,7 +359,7 @@
 }
 
 // DrainEvents returns the changes since the last call.
-func (t *Membership) DrainEvents() []Event {
+func (t *MemberTable) DrainEvents() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	events := t.events
--- a/internal/host/membership_test.go
+++ b/internal/host/table_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-func newTable(name string) *Membership {
-	return NewMembership(Config{Self: Member{Name: name, Inner: name, Domain: "a", Incarnation: 1, Ready: true}, DomainFanOut: 2, Random: rand.New(rand.NewPCG(1, 1))})
+func newTable(name string) *MemberTable {
+	return NewMemberTable(Config{Self: Member{Name: name, Inner: name, Domain: "a", Incarnation: 1, Ready: true}, DomainFanOut: 2, Random: rand.New(rand.NewPCG(1, 1))})
 }
 
 // TestPausedHostNoticesItself pauses a host for 30 s: it must leave its own answers, and take nobody for dead.
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -19,7 +19,7 @@
 
 // Heartbeats exchanges what a host knows of the members with its peers.
 type Heartbeats struct {
-	Table  *host.Membership
+	Table  *host.MemberTable
 	Client *Client
 	// Now returns the time since the host's start.
 	Now func() time.Duration
@@ -80,7 +80,7 @@
 }
 
 // Answer takes in a peer's heartbeat and returns what that peer does not know.
-func Answer(table *host.Membership, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
+func Answer(table *host.MemberTable, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
 	answer := table.HandleGossip(now, r.Sender, host.Gossip{Members: FromMembers(r.Members), Digests: FromPulses(r.Pulses)})
 	return &HeartbeatReply{
 		Sender: table.Self().Name, Members: ToMembers(answer.Members), Pulses: ToPulses(answer.Digests), Unknown: ToIDs(answer.Unknown),
