--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -7,91 +7,98 @@
 	"time"
 )
 
-// Limits of the demand for homes.
+// Parameters of the scaling of homes.
 const (
-	// maxRatePerHome is how many requests a second one home carries within the bound on added latency.
+	// maxRatePerHome is the number of requests per second that one home can place within the limit on added latency.
 	maxRatePerHome = 1500.0
-	// scaleDownShare is the share of homeRate below which fewer homes would do.
+	// scaleDownShare is the fraction of maxRatePerHome that the remaining homes may carry after scaling down. The gap to
+	// maxRatePerHome is the hysteresis that prevents flapping.
 	scaleDownShare = 0.6
-	// scaleUpDelay and lowerAfter are how long the rate must ask for more or fewer homes.
+	// scaleUpDelay and scaleDownDelay are how long the rate must call for the same higher or lower number of homes
+	// before that number is adopted.
 	scaleUpDelay   = 3 * time.Second
 	scaleDownDelay = time.Minute
-	// maxScaledHomes bounds the homes that load alone can ask for.
+	// maxScaledHomes is the maximum number of homes due to load; a note may configure more.
 	maxScaledHomes = 8
 )
 
-// HomeDemand is a host's word that a service needs more homes than its note gives it.
+// HomeDemand is the number of homes that one host calculates for a service from the service's load.
 type HomeDemand struct {
 	Service string
 	Homes   int
 }
 
-// serviceDemand is what one service's rate asks for, and since when.
+// serviceDemand is the calculated demand of one service.
 type serviceDemand struct {
-	homes   int
+	// homes is the number of homes that this host asks for.
+	homes int
+	// pending is the number of homes that the latest rate calls for; it replaces homes after a delay.
 	pending int
-	since   time.Duration
+	// since is when pending last changed.
+	since time.Duration
 }
 
-// HomeScaler turns the rates that one host sees into the homes that services need. It is not safe for concurrent use.
+// HomeScaler calculates from the request rates that this host observes how many homes each service needs.
+// It is not safe for concurrent use.
 type HomeScaler struct {
 	services map[string]*serviceDemand
 }
 
-// NewHomeScaler returns a Demand that asks for nothing.
+// NewHomeScaler returns a HomeScaler that has observed no requests.
 func NewHomeScaler() *HomeScaler { return &HomeScaler{map[string]*serviceDemand{}} }
 
-// Observe takes in the rate at which this host, one of so many homes, gets a service's requests.
-func (d *HomeScaler) Observe(now time.Duration, service string, rate float64, homes int) {
-	w := d.services[service]
-	if w == nil {
-		w = &serviceDemand{homes: 1, pending: 1, since: now}
-		d.services[service] = w
+// Observe records the rate of a service's requests on this host, in requests per second. The service currently has the
+// given number of homes; the total rate is estimated as though each of them received as many requests as this host.
+func (s *HomeScaler) Observe(now time.Duration, service string, rate float64, homes int) {
+	d := s.services[service]
+	if d == nil {
+		d = &serviceDemand{homes: 1, pending: 1, since: now}
+		s.services[service] = d
 	}
-	next := neededHomes(rate*float64(max(1, homes)), w.homes)
-	if next != w.pending {
-		w.pending, w.since = next, now
+	next := neededHomes(rate*float64(max(1, homes)), d.homes)
+	if next != d.pending {
+		d.pending, d.since = next, now
 	}
 	wait := scaleUpDelay
-	if w.pending < w.homes {
+	if d.pending < d.homes {
 		wait = scaleDownDelay
 	}
-	if w.pending != w.homes && now-w.since >= wait {
-		w.homes = w.pending
+	if d.pending != d.homes && now-d.since >= wait {
+		d.homes = d.pending
 	}
 }
 
-// neededHomes returns the homes that a service's whole rate needs, given those that it has been asked for so far.
-func neededHomes(total float64, now int) int {
+// neededHomes returns how many homes a service needs for a total rate, given the number currently asked for.
+func neededHomes(total float64, current int) int {
 	more := int(math.Ceil(total / maxRatePerHome))
 	fewer := int(math.Ceil(total / (maxRatePerHome * scaleDownShare)))
 	switch {
-	case more > now:
+	case more > current:
 		return min(more, maxScaledHomes)
-	case fewer < now:
+	case fewer < current:
 		return max(1, fewer)
 	}
-	return now
+	return current
 }
 
-// Demands returns the services that need more than one home, sorted by name.
-func (d *HomeScaler) Demands() []HomeDemand {
+// Demands returns the demand of each service that needs more than one home, sorted by service.
+func (s *HomeScaler) Demands() []HomeDemand {
 	var list []HomeDemand
-	for service, w := range d.services {
-		if w.homes > 1 {
-			list = append(list, HomeDemand{service, w.homes})
+	for service, d := range s.services {
+		if d.homes > 1 {
+			list = append(list, HomeDemand{service, d.homes})
 		}
 	}
 	slices.SortFunc(list, func(a, b HomeDemand) int { return cmp.Compare(a.Service, b.Service) })
 	return list
 }
 
-// HomeCount returns the number of homes of a service: the note's, or more when any live host asks for them.
+// HomeCount returns the number of homes of a service: the configured number, or the highest that any live host asks for.
 func HomeCount(service string, homes int, live []Member) int {
 	for _, m := range live {
-		for _, w := range m.Wants {
-			if w.Service == service {
-				homes = max(homes, min(w.Homes, maxScaledHomes))
+		for _, d := range m.Wants {
+			if d.Service == service {
+				homes = max(homes, min(d.Homes, maxScaledHomes))
 			}
 		}
 	}
--- a/internal/host/gossip.go
+++ b/internal/host/gossip.go
@@ -10,31 +10,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fullStateTime is how long a change of a member is sent in full to whoever is told.
+// fullStateTime is how long after a change a member is gossiped in full rather than as a digest.
 const fullStateTime = 1500 * time.Millisecond
 
-// MemberHash names everything about a member but its heartbeat; it changes when any of that does.
+// MemberHash is a hash of the whole state of a member except its heartbeat counter.
 type MemberHash uint32
 
-// Digest is the newest heartbeat of a member that the other side knows already.
+// Digest is a member's heartbeat counter, sent in place of the full state that the receiver is expected to know already.
 type Digest struct {
 	Hash MemberHash
 	Beat uint64
 }
 
-// Gossip is what one host tells another of the members.
+// Gossip is the content of a heartbeat or of a reply to one.
 type Gossip struct {
+	// Members are sent with their full state.
 	Members []Member
+	// Digests stand for members whose state the receiver is expected to know.
 	Digests []Digest
-	// Unknown lists pulses that the other side sent and that this one could not place.
+	// Unknown lists the hashes of received digests that match no member known to the sender, which asks for their state.
 	Unknown []MemberHash
 }
 
-// hash computes a member's ID.
+// hash returns the member's MemberHash.
 func (m Member) hash() MemberHash {
 	d := xxhash.New()
 	for _, text := range []string{m.Name, m.Listen, m.Inner, m.Domain, m.Region} {
-		// A hash never fails to write.
+		// Writes to a hash never return an error.
 		_, _ = d.WriteString(text)
 		_, _ = d.Write([]byte{0})
 	}
@@ -58,7 +60,8 @@
 	return 0
 }
 
-// newestPeers returns the members to tell of: the own one first, then those that advanced last, at most maxSent.
+// newestPeers returns up to maxGossipMembers members to gossip about: this host, then the peers whose heartbeat advanced
+// most recently.
 func (t *MemberTable) newestPeers() []*peer {
 	peers := make([]*peer, 0, len(t.peers)+1)
 	for _, p := range t.peers {
@@ -74,78 +77,78 @@
 	return append([]*peer{self}, peers...)
 }
 
-// OutgoingGossip returns what to tell a peer: the own member and recent changes in full, the rest as pulses.
+// OutgoingGossip returns the content of a heartbeat: this host and recently changed members in full, others as digests.
 func (t *MemberTable) OutgoingGossip(now time.Duration) Gossip {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news Gossip
+	var gossip Gossip
 	for i, p := range t.newestPeers() {
 		if i == 0 || now-p.stateChanged < fullStateTime {
-			news.Members = append(news.Members, p.member)
+			gossip.Members = append(gossip.Members, p.member)
 			continue
 		}
-		news.Digests = append(news.Digests, Digest{p.hash, p.member.Beat})
+		gossip.Digests = append(gossip.Digests, Digest{p.hash, p.member.Beat})
 	}
-	return news
+	return gossip
 }
 
-// HandleGossip takes in what a peer told and returns what that peer does not know yet.
-func (t *MemberTable) HandleGossip(now time.Duration, sender string, news Gossip) Gossip {
-	unknown := t.Merge(now, sender, news)
+// HandleGossip merges a received heartbeat and returns the reply, which holds what its sender does not know yet.
+func (t *MemberTable) HandleGossip(now time.Duration, sender string, gossip Gossip) Gossip {
+	unknown := t.Merge(now, sender, gossip)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := make(map[MemberHash]uint64, len(news.Digests)+len(news.Members))
-	for _, m := range news.Members {
-		told[m.hash()] = m.Beat
+	received := make(map[MemberHash]uint64, len(gossip.Digests)+len(gossip.Members))
+	for _, m := range gossip.Members {
+		received[m.hash()] = m.Beat
 	}
-	for _, p := range news.Digests {
-		told[p.Hash] = p.Beat
+	for _, d := range gossip.Digests {
+		received[d.Hash] = d.Beat
 	}
-	answer := Gossip{Unknown: unknown}
+	reply := Gossip{Unknown: unknown}
 	for _, p := range t.newestPeers() {
-		beat, known := told[p.hash]
+		beat, known := received[p.hash]
 		switch {
 		case !known:
-			answer.Members = append(answer.Members, p.member)
+			reply.Members = append(reply.Members, p.member)
 		case p.member.Beat > beat:
-			answer.Digests = append(answer.Digests, Digest{p.hash, p.member.Beat})
+			reply.Digests = append(reply.Digests, Digest{p.hash, p.member.Beat})
 		}
 	}
-	return answer
+	return reply
 }
 
-// FullGossip returns the members with the given IDs, the own one first.
-func (t *MemberTable) FullGossip(ids []MemberHash) Gossip {
+// FullGossip returns in full this host and the members with the given hashes, which the receiver reported as unknown.
+func (t *MemberTable) FullGossip(hashes []MemberHash) Gossip {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := Gossip{Members: []Member{t.self}}
+	gossip := Gossip{Members: []Member{t.self}}
 	for _, p := range t.peers {
-		if slices.Contains(ids, p.hash) {
-			news.Members = append(news.Members, p.member)
+		if slices.Contains(hashes, p.hash) {
+			gossip.Members = append(gossip.Members, p.member)
 		}
 	}
-	return news
+	return gossip
 }
 
-// mergeDigests advances the members that the pulses name and returns the IDs that name none.
-func (t *MemberTable) mergeDigests(now time.Duration, pulses []Digest) []MemberHash {
-	if len(pulses) == 0 {
+// mergeDigests updates the heartbeat counters of known members and returns the hashes that match no member.
+func (t *MemberTable) mergeDigests(now time.Duration, digests []Digest) []MemberHash {
+	if len(digests) == 0 {
 		return nil
 	}
-	byID := make(map[MemberHash]*peer, len(t.peers)+1)
+	byHash := make(map[MemberHash]*peer, len(t.peers)+1)
 	for _, p := range t.peers {
-		byID[p.hash] = p
+		byHash[p.hash] = p
 	}
-	byID[t.self.hash()] = nil
+	byHash[t.self.hash()] = nil
 	var unknown []MemberHash
-	for _, pulse := range pulses {
-		p, known := byID[pulse.Hash]
+	for _, digest := range digests {
+		p, known := byHash[digest.Hash]
 		switch {
 		case !known:
-			unknown = append(unknown, pulse.Hash)
-		case p != nil && pulse.Beat > p.member.Beat:
+			unknown = append(unknown, digest.Hash)
+		case p != nil && digest.Beat > p.member.Beat:
 			m := p.member
-			m.Beat = pulse.Beat
+			m.Beat = digest.Beat
 			t.mergeMember(now, m, false)
 		}
 	}
--- a/internal/host/home.go
+++ b/internal/host/home.go
@@ -8,11 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxLocalAddresses is the most addresses in one answer.
+// maxLocalAddresses is the maximum number of addresses of the caller's region that Homes returns, unless the service has
+// more homes.
 const maxLocalAddresses = 5
 
-// Rank orders members for a name by rendezvous hash: each member's place depends on itself and the name alone,
-// so that a join or a leave moves only what it must.
+// Rank orders members for a name by rendezvous hashing. The relative order of two members depends only on their names
+// and the given one, so a join or leave does not reorder the others.
 func Rank(name string, members []Member) []Member {
 	scores := make([]score, len(members))
 	for i, m := range members {
@@ -26,9 +27,10 @@
 	return ranked
 }
 
-// score is the weight of one member of a list for a name.
+// score is the rendezvous hash of a name and one member of a list.
 type score struct {
 	value uint64
+	// index is the position of the member in the list.
 	index int
 }
 
@@ -36,37 +38,37 @@
 	return score{xxhash.Sum64String(name + "\x00" + m.Name), index}
 }
 
-// compare is negative when a goes first.
+// compare orders scores from highest to lowest, and equal ones by the names of the members.
 func (a score) compare(b score, members []Member) int {
 	return cmp.Or(cmp.Compare(b.value, a.value), strings.Compare(members[a.index].Name, members[b.index].Name))
 }
 
-// Homes returns the hosts that callers in a failure domain should connect to for a service, best first.
-// Every region has homes of its own, the first of its rank; those in the caller's failure domain come before the others.
-// Hosts of other regions come last, for when the caller's region has none left.
+// Homes returns the hosts that callers in a failure domain should connect to for a service, in order of preference.
+// The homes are the hosts of the caller's region that rank first for the service; those in the caller's failure domain are
+// listed first. Further hosts of the region follow as fallbacks, then hosts of other regions in case the whole region fails.
 func Homes(service string, homes int, domain, region string, live []Member) []Member {
-	near, away := splitByRegion(live, regionOf(domain, region, live))
-	ranked := Rank(service, near)
+	local, remote := splitByRegion(live, regionOf(domain, region, live))
+	ranked := Rank(service, local)
 	homes = min(homes, len(ranked))
-	first := Rank(service+"\x00"+domain, ranked[:homes])
-	slices.SortStableFunc(first, func(a, b Member) int { return cmp.Compare(domainDistance(a, domain), domainDistance(b, domain)) })
-	list := append(first, ranked[homes:]...)
+	preferred := Rank(service+"\x00"+domain, ranked[:homes])
+	slices.SortStableFunc(preferred, func(a, b Member) int { return cmp.Compare(domainDistance(a, domain), domainDistance(b, domain)) })
+	list := append(preferred, ranked[homes:]...)
 	list = list[:min(len(list), max(homes, maxLocalAddresses))]
-	away = Rank(service, away)
-	return append(list, away[:min(len(away), maxRemoteAddresses)]...)
+	remote = Rank(service, remote)
+	return append(list, remote[:min(len(remote), maxRemoteAddresses)]...)
 }
 
-// RegionHomes returns the homes of a service in one region.
+// RegionHomes returns the homes of a service in one region, or in the other regions if it has no live host.
 func RegionHomes(service string, homes int, region string, live []Member) []Member {
-	near, _ := splitByRegion(live, region)
-	ranked := Rank(service, near)
+	local, _ := splitByRegion(live, region)
+	ranked := Rank(service, local)
 	return ranked[:min(homes, len(ranked))]
 }
 
-// maxRemoteAddresses is the most addresses of other regions in one answer.
+// maxRemoteAddresses is the maximum number of addresses of other regions that Homes returns.
 const maxRemoteAddresses = 2
 
-// regionOf returns the region of a failure domain as the live hosts tell it, or the given one.
+// regionOf returns the region of the live hosts in a failure domain, or the given default if there are none.
 func regionOf(domain, region string, live []Member) string {
 	for _, m := range live {
 		if m.Domain == domain {
@@ -76,21 +78,22 @@
 	return region
 }
 
-// splitByRegion parts the members of a region from the others; without any in the region all count as near.
-func splitByRegion(members []Member, region string) (near, away []Member) {
+// splitByRegion separates the members of a region from the others. If the region has none, all members count as local.
+func splitByRegion(members []Member, region string) (local, remote []Member) {
 	for _, m := range members {
 		if m.Region == region {
-			near = append(near, m)
+			local = append(local, m)
 		} else {
-			away = append(away, m)
+			remote = append(remote, m)
 		}
 	}
-	if len(near) == 0 {
-		return away, nil
+	if len(local) == 0 {
+		return remote, nil
 	}
-	return near, away
+	return local, remote
 }
 
+// domainDistance returns 0 for a member in the failure domain and 1 for any other.
 func domainDistance(m Member, domain string) int {
 	if m.Domain == domain {
 		return 0
@@ -98,27 +101,28 @@
 	return 1
 }
 
-// Watchers returns the few hosts of each failure domain that follow the store for the others, in the order of the list.
+// Watchers returns the hosts that watch the platform's store on behalf of all others, perDomain of each failure domain,
+// in the order of the list. Hosts with the same view of the members select the same watchers.
 func Watchers(live []Member, perDomain int) []Member {
-	first := map[string][]score{}
+	selected := map[string][]score{}
 	for i, m := range live {
-		best := append(first[m.Domain], scoreOf("watcher\x00"+m.Domain, m, i))
+		best := append(selected[m.Domain], scoreOf("watcher\x00"+m.Domain, m, i))
 		if len(best) > perDomain {
 			slices.SortFunc(best, func(a, b score) int { return a.compare(b, live) })
 			best = best[:perDomain]
 		}
-		first[m.Domain] = best
+		selected[m.Domain] = best
 	}
 	var list []Member
 	for i, m := range live {
-		if slices.ContainsFunc(first[m.Domain], func(s score) bool { return s.index == i }) {
+		if slices.ContainsFunc(selected[m.Domain], func(s score) bool { return s.index == i }) {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// IsWatcher reports whether a host is among the few of its failure domain that follow the store, as if it were live itself.
+// IsWatcher reports whether self is one of the Watchers, even if it is not in the list of live members yet.
 func IsWatcher(self Member, live []Member, perDomain int) bool {
 	same := func(m Member) bool { return m.Name == self.Name }
 	if !slices.ContainsFunc(live, same) {
--- a/internal/host/member.go
+++ b/internal/host/member.go
@@ -1,62 +1,75 @@
-// Package host keeps the membership of entry hosts: heartbeats, incarnations, and which hosts are home to a service.
-// It knows no sockets and no wall clock: callers pass the time in.
+// Package host implements the gossip membership of entry hosts, the load balancer's own processes. It tracks which hosts
+// are alive and ready by their heartbeats, and selects by rendezvous hashing the homes of each service, that is, the hosts
+// that place its requests on backend servers, and the hosts that watch the platform's store. It opens no connections and
+// reads no clock: callers send the messages and pass in the time since the start of this host.
 package host
 
 import "time"
 
-// Member is one incarnation of an entry host.
+// Member describes one incarnation of an entry host, that is, its process from one start to the next.
 type Member struct {
-	Name   string
+	// Name identifies the host across restarts.
+	Name string
+	// Listen is the address for callers.
 	Listen string
-	Inner  string
+	// Inner is the address for other entry hosts.
+	Inner string
+	// Domain is the failure domain of the host.
 	Domain string
+	// Region is the region that the failure domain belongs to.
 	Region string
-	// Incarnation is higher for each start of the host.
+	// Incarnation increases with each start of the host.
 	Incarnation uint64
-	// Beat is the number of the member's newest heartbeat.
+	// Beat is the host's heartbeat counter, which increases by one with each round of heartbeats.
 	Beat uint64
 	// Leaving is set once the host has begun a graceful stop.
 	Leaving bool
-	// Ready is set while the host may be in address answers.
+	// Ready is set while callers may be sent to the host.
 	Ready bool
-	// Note is the number of the note in force on the host.
+	// Note is the number of the note (revision of the configuration) in force on the host.
 	Note int
-	// Wants lists the services whose load asks for more homes.
+	// Wants lists the services for which the host observes more load than their configured homes carry.
 	Wants []HomeDemand
-	// StoreLost is set while the host can't reach the platform's store.
+	// StoreLost is set while the host cannot reach the platform's store.
 	StoreLost bool
 }
 
-// Times of membership.
+// Timing of heartbeats and failure detection.
 const (
-	// HeartbeatInterval is the time between two heartbeats.
+	// HeartbeatInterval is the time between two rounds of heartbeats.
 	HeartbeatInterval = 500 * time.Millisecond
-	// discoveryInterval is the same after a start, and while a host hears of members that it did not know: a fleet that starts at
-	// once finds itself in a few rounds, and its homes with it.
+	// discoveryInterval replaces HeartbeatInterval after a start and while new members are being discovered, so that
+	// hosts that all start at the same time quickly agree on the members and therefore on the homes of services.
 	discoveryInterval = 50 * time.Millisecond
-	// discoveryRounds is how many rounds in a row must bring nobody new before a host takes its time again.
+	// discoveryRounds is the number of consecutive rounds without a new member after which HeartbeatInterval applies again.
 	discoveryRounds = 6
-	// deadAfter is how long a member lives without a new heartbeat.
+	// deadAfter is how long a member may go without a new heartbeat before it counts as dead, in clusters of up to
+	// maxGossipMembers; see MemberTable.deadTimeout.
 	deadAfter = 2500 * time.Millisecond
-	// removeAfter is how long a dead member is remembered.
+	// removeAfter is the time since its last heartbeat after which a dead member is removed from the table.
 	removeAfter = time.Minute
-	// pauseThreshold is the longest time between own heartbeats that is no pause.
+	// pauseThreshold is the time since this host's last round of heartbeats above which its process counts as paused
+	// (suspended, or starved of CPU).
 	pauseThreshold = 1500 * time.Millisecond
 )
 
-// Event is one change that a host saw in the membership.
+// Event is a change in the state of another host.
 type Event struct {
 	Kind   EventKind
 	Member Member
 }
 
-// EventKind says what changed.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The kinds of event.
+// The kinds of Event.
 const (
+	// Joined reports a new member, or a new incarnation of a known one.
 	Joined EventKind = iota
+	// Left reports that a member has begun a graceful stop.
 	Left
+	// Died reports that a member sent no heartbeat for too long.
 	Died
+	// Returned reports a heartbeat of the same incarnation after Died.
 	Returned
 )
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -8,88 +8,100 @@
 	"time"
 )
 
-// Config sets up a Table.
+// Config configures a MemberTable.
 type Config struct {
-	Self  Member
+	// Self describes this host at its start.
+	Self Member
+	// Seeds are the inner addresses at which the first peers are found.
 	Seeds []string
-	// DomainFanOut is the number of peers in the own failure domain that a heartbeat goes to; other domains get one each.
+	// DomainFanOut is the number of peers in this host's failure domain that receive each round of heartbeats.
+	// One peer of each other failure domain receives it as well.
 	DomainFanOut int
-	Random       *rand.Rand
+	// Random selects the peers that receive a round of heartbeats.
+	Random *rand.Rand
 }
 
-// maxGossipMembers bounds the members in one heartbeat.
+// maxGossipMembers is the maximum number of members in one heartbeat.
 const maxGossipMembers = 64
 
-// seedContactRounds is how many rounds pass between two heartbeats to seeds and listed hosts, whether they are known or not.
+// seedContactRounds is the number of rounds between two heartbeats to seeds and hosts of the platform's host list, which
+// are also sent while peers are known.
 const seedContactRounds = 16
 
+// peer is what this host knows about another one.
 type peer struct {
-	member      Member
-	hash        MemberHash
+	member Member
+	hash   MemberHash
+	// lastAdvance is when the heartbeat counter last increased.
 	lastAdvance time.Duration
-	// stateChanged is when anything but the heartbeat last changed.
+	// stateChanged is when the member's state, apart from the heartbeat counter, last changed.
 	stateChanged time.Duration
 	dead         bool
-	// listedLeaving is set while the platform's host list says that the host leaves.
+	// listedLeaving is set while the platform's host list marks the host as leaving.
 	listedLeaving bool
 }
 
-// MemberTable is what one entry host knows of all others. It is safe for concurrent use.
+// MemberTable holds the state of this host and what it knows about all other entry hosts. It is safe for concurrent use.
 type MemberTable struct {
-	mu        sync.Mutex
-	config    Config
-	self      Member
-	peers     map[string]*peer
+	mu     sync.Mutex
+	config Config
+	self   Member
+	// peers holds the other hosts by name.
+	peers map[string]*peer
+	// lastRound is when the last round of heartbeats began.
 	lastRound time.Duration
-	// discovered is set when a member was heard of for the first time since the last round of heartbeats.
+	// discovered is set when a new member, or a new incarnation of one, appeared since the last round of heartbeats.
 	discovered bool
-	// quietRounds counts the rounds since then.
+	// quietRounds is the number of rounds since a member was last discovered.
 	quietRounds int
-	started     bool
-	paused      bool
-	// lastReceived is when any peer's heartbeat last advanced.
+	// started is set with the first round of heartbeats.
+	started bool
+	// paused is set when a pause of this process was detected; ResetPaused clears it.
+	paused bool
+	// lastReceived is when a heartbeat or a reply was last received.
 	lastReceived time.Duration
-	events       []Event
-	// hostListAddresses are the inner addresses of entry hosts on the platform's list.
+	// events are the changes since the last call of DrainEvents.
+	events []Event
+	// hostListAddresses are the inner addresses of the entry hosts on the platform's host list.
 	hostListAddresses []string
-	// live caches Live until the next change.
+	// live caches the result of Live until the next change.
 	live []Member
 }
 
-// NewMemberTable returns a table that knows only its own host.
+// NewMemberTable returns a table that holds only this host.
 func NewMemberTable(c Config) *MemberTable {
 	return &MemberTable{config: c, self: c.Self, peers: map[string]*peer{}}
 }
 
-// Self returns the own member as it is now.
+// Self returns the current state of this host.
 func (t *MemberTable) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// SetNote sets the number of the note in force here.
+// SetNote sets the number of the note in force on this host; a lower number than the current one is ignored.
 func (t *MemberTable) SetNote(number int) { t.update(func(m *Member) { m.Note = max(m.Note, number) }) }
 
-// SetReady sets whether this host may be in address answers.
+// SetReady sets whether callers may be sent to this host.
 func (t *MemberTable) SetReady(ready bool) { t.update(func(m *Member) { m.Ready = ready }) }
 
-// SetHomeDemands sets which services' load asks for more homes.
-func (t *MemberTable) SetHomeDemands(wants []HomeDemand) {
-	t.update(func(m *Member) { m.Wants = wants })
+// SetHomeDemands sets the numbers of homes that this host calculates for services from their load.
+func (t *MemberTable) SetHomeDemands(demands []HomeDemand) {
+	t.update(func(m *Member) { m.Wants = demands })
 }
 
-// SetSeeds replaces the addresses that are asked first.
+// SetSeeds replaces the seed addresses.
 func (t *MemberTable) SetSeeds(seeds []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.config.Seeds = seeds
 }
 
-// SetStoreLost sets whether this host can't reach the platform's store.
+// SetStoreLost sets whether the platform's store is unreachable from this host.
 func (t *MemberTable) SetStoreLost(lost bool) { t.update(func(m *Member) { m.StoreLost = lost }) }
 
-// Leave marks the own host as leaving.
+// Leave marks this host as leaving.
 func (t *MemberTable) Leave() { t.update(func(m *Member) { m.Leaving = true }) }
 
 func (t *MemberTable) update(change func(*Member)) {
@@ -99,8 +111,8 @@
 	t.live = nil
 }
 
-// BeginRound begins a round of heartbeats and returns the inner addresses to send to.
-// It notices when this host was paused since the last round.
+// BeginRound begins a round of heartbeats and returns the inner addresses to send them to.
+// If this process was paused since the last round, the host is no longer ready, and ResetPaused reports the pause.
 func (t *MemberTable) BeginRound(now time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,7 +142,8 @@
 	return HeartbeatInterval
 }
 
-// restartTimeouts gives every peer a new chance after an own pause, so that none is taken for dead that was only unheard.
+// restartTimeouts restarts the failure detection of all live peers. After a pause of this process their heartbeats are
+// missing because they were not received, not because the peers died.
 func (t *MemberTable) restartTimeouts(now time.Duration) {
 	for _, p := range t.peers {
 		if !p.dead {
@@ -139,7 +152,8 @@
 	}
 }
 
-// ResetPaused reports whether the host was paused since the last call; the note and the peers must be read again.
+// ResetPaused reports whether a pause of this process was detected since the last call. After a pause the note in force
+// and the state of the peers are out of date, and the caller must fetch them again.
 func (t *MemberTable) ResetPaused() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,14 +162,17 @@
 	return paused
 }
 
-// HeartbeatOverdue reports whether the host's own heartbeat is late, which means that it was paused and has not noticed yet.
+// HeartbeatOverdue reports whether this host's next round of heartbeats is so late that the process must have been paused
+// and BeginRound has not detected it yet.
 func (t *MemberTable) HeartbeatOverdue(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.started && now-t.lastRound > pauseThreshold
 }
 
-// recipients picks a few live peers of each failure domain, one dead one, and the seeds while no peer is known.
+// recipients returns the inner addresses for a round of heartbeats: random live peers of each failure domain, and one dead
+// peer in case it has recovered. Seeds and hosts of the host list are added while no peer is known and every
+// seedContactRounds rounds.
 func (t *MemberTable) recipients() []string {
 	byDomain := map[string][]string{}
 	var dead []string
@@ -202,18 +219,20 @@
 	return keys
 }
 
+// sample returns up to count random elements of a list.
 func (t *MemberTable) sample(list []string, count int) []string {
 	list = slices.Clone(list)
 	t.config.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(count, len(list))]
 }
 
-// deadTimeout returns how long a member lives without a new heartbeat. It grows with a fleet so large that
-// a heartbeat cannot tell of every member.
+// deadTimeout returns how long a member may go without a new heartbeat before it counts as dead. It grows with the number
+// of peers above maxGossipMembers, because one heartbeat cannot include all of them then.
 func (t *MemberTable) deadTimeout() time.Duration {
 	return deadAfter * time.Duration(max(maxGossipMembers, len(t.peers))) / maxGossipMembers
 }
 
+// expire marks peers without recent heartbeats as dead and removes those that have been dead for long.
 func (t *MemberTable) expire(now time.Duration) {
 	for name, p := range t.peers {
 		age := now - p.lastAdvance
@@ -227,21 +246,23 @@
 	}
 }
 
-// Merge takes in a heartbeat or its reply; sender is the name of the host that sent it.
-// It returns the pulses that name no known member.
-func (t *MemberTable) Merge(now time.Duration, sender string, news Gossip) []MemberHash {
+// Merge updates the table from a heartbeat or a reply; sender is the name of the host that sent it.
+// It returns the hashes of the digests that match no known member.
+func (t *MemberTable) Merge(now time.Duration, sender string, gossip Gossip) []MemberHash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastReceived = now
-	for _, m := range news.Members {
+	for _, m := range gossip.Members {
 		if m.Name != t.self.Name {
 			t.mergeMember(now, m, m.Name == sender)
 		}
 	}
 	t.live = nil
-	return t.mergeDigests(now, news.Digests)
+	return t.mergeDigests(now, gossip.Digests)
 }
 
+// mergeMember updates the table from the state of one member; direct is set if the member itself sent it. A lower
+// incarnation replaces a dead higher one only if it is direct, since other hosts may still gossip outdated state.
 func (t *MemberTable) mergeMember(now time.Duration, m Member, direct bool) {
 	p, known := t.peers[m.Name]
 	if !known {
@@ -267,6 +288,7 @@
 	}
 }
 
+// appendEvents appends the events of a peer's change to a new state.
 func (t *MemberTable) appendEvents(p *peer, m Member, replaced bool) {
 	switch {
 	case replaced:
@@ -279,8 +301,8 @@
 	}
 }
 
-// HeartbeatFailed notes that a heartbeat to an inner address got no answer.
-// A host that refuses connections is not yet dead: it dies when no peer has heard it.
+// HeartbeatFailed records that the peer at an inner address did not answer a heartbeat. Only a leaving peer counts as dead
+// at once; any other may still be reachable for the rest of the hosts, and dies when its heartbeat no longer advances.
 func (t *MemberTable) HeartbeatFailed(now time.Duration, inner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -291,26 +313,27 @@
 	}
 }
 
-// SetHostList takes in the platform's list: the inner addresses of its entry hosts, to find peers by beside the seeds,
-// and the names of the hosts that it calls leaving.
-func (t *MemberTable) SetHostList(listed []string, names map[string]bool) {
+// SetHostList applies the platform's host list. The inner addresses of its entry hosts are used like seeds, and the hosts
+// whose names are in leaving are excluded from Live.
+func (t *MemberTable) SetHostList(addresses []string, leaving map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.hostListAddresses = listed
+	t.hostListAddresses = addresses
 	for name, p := range t.peers {
-		p.listedLeaving = names[name]
+		p.listedLeaving = leaving[name]
 	}
 	t.live = nil
 }
 
-// Isolated reports whether this host knew peers and now hears none.
+// Isolated reports whether this host knows peers but has received no heartbeat or reply within the dead timeout.
 func (t *MemberTable) Isolated(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.peers) > 0 && now-t.lastReceived > t.deadTimeout()
 }
 
-// Live returns the ready hosts that are not leaving, the own one among them, sorted by name.
+// Live returns the hosts that are alive, ready and not leaving, possibly including this one, sorted by name.
+// The caller must not modify the result.
 func (t *MemberTable) Live(now time.Duration) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -331,7 +354,7 @@
 	return live
 }
 
-// Find returns a member by name, dead or alive.
+// Find returns the member with a name, dead or alive.
 func (t *MemberTable) Find(name string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -345,7 +368,7 @@
 	return p.member, true
 }
 
-// Peers returns every known peer that is not dead, sorted by name.
+// Peers returns all other hosts that are not dead, sorted by name.
 func (t *MemberTable) Peers() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -358,7 +381,7 @@
 	return list
 }
 
-// DrainEvents returns the changes since the last call.
+// DrainEvents returns the events since the last call.
 func (t *MemberTable) DrainEvents() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -14,7 +14,8 @@
 	return NewMemberTable(Config{Self: Member{Name: name, Inner: name, Domain: "a", Incarnation: 1, Ready: true}, DomainFanOut: 2, Random: rand.New(rand.NewPCG(1, 1))})
 }
 
-// TestPausedHostNoticesItself pauses a host for 30 s: it must leave its own answers, and take nobody for dead.
+// TestPausedHostNoticesItself simulates a pause of 30 s: the host must withdraw itself from the live hosts and must not
+// declare its peers dead because it did not receive their heartbeats.
 func TestPausedHostNoticesItself(t *testing.T) {
 	is := is.New(t)
 	table := newTable("x")
@@ -23,11 +24,11 @@
 	is.Equal(len(table.Live(0)), 2)
 	is.True(!table.HeartbeatOverdue(HeartbeatInterval))
 	now := 30 * time.Second
-	is.True(table.HeartbeatOverdue(now)) // before the next heartbeat already
+	is.True(table.HeartbeatOverdue(now)) // already before the next round
 	table.BeginRound(now)
 	is.True(table.ResetPaused())
 	is.True(!table.Self().Ready)
-	is.Equal(len(table.Live(now)), 1) // the peer only
+	is.Equal(len(table.Live(now)), 1) // only the peer
 	is.True(!table.ResetPaused())
 }
 
@@ -42,9 +43,9 @@
 	}{
 		{"newer heartbeat", "z", Member{Name: "y", Incarnation: 5, Beat: 10}, false, 5},
 		{"newer incarnation", "z", Member{Name: "y", Incarnation: 6, Beat: 1}, false, 6},
-		{"older incarnation by hearsay", "z", Member{Name: "y", Incarnation: 4, Beat: 99}, true, 5},
-		{"older incarnation itself, while the newer lives", "y", Member{Name: "y", Incarnation: 4, Beat: 99}, false, 5},
-		{"older incarnation itself, after the newer died", "y", Member{Name: "y", Incarnation: 4, Beat: 1}, true, 4},
+		{"older incarnation via another host", "z", Member{Name: "y", Incarnation: 4, Beat: 99}, true, 5},
+		{"older incarnation directly, newer is alive", "y", Member{Name: "y", Incarnation: 4, Beat: 99}, false, 5},
+		{"older incarnation directly, newer is dead", "y", Member{Name: "y", Incarnation: 4, Beat: 1}, true, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// TestFanOutBound checks that the heartbeats of one host do not grow with the fleet.
+// TestFanOutBound checks that the number and size of a host's heartbeats do not grow with the number of hosts.
 func TestFanOutBound(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []int{13, 60, 200} {
@@ -75,14 +76,15 @@
 		}
 		table.Merge(0, "0", Gossip{Members: members})
 		is.True(len(table.BeginRound(0)) <= 2+5+2)
-		news := table.OutgoingGossip(time.Minute)
-		is.Equal(len(news.Members), 1) // the rest goes as pulses
-		is.True(len(news.Digests) <= maxGossipMembers-1)
+		gossip := table.OutgoingGossip(time.Minute)
+		is.Equal(len(gossip.Members), 1) // only this host; the others are sent as digests
+		is.True(len(gossip.Digests) <= maxGossipMembers-1)
 	}
 }
 
-// TestPulsesTellWhatIsNew lets two hosts exchange news until neither learns anything.
-func TestPulsesTellWhatIsNew(t *testing.T) {
+// TestDigestsCarryOnlyUpdates exchanges gossip between two hosts: unknown digests are resolved to full members, and later
+// replies hold only digests with a newer heartbeat.
+func TestDigestsCarryOnlyUpdates(t *testing.T) {
 	is := is.New(t)
 	a, b := newTable("a"), newTable("b")
 	var known []Member
@@ -91,21 +93,21 @@
 	}
 	a.Merge(0, "", Gossip{Members: known})
 	now := 10 * time.Second
-	answer := b.HandleGossip(now, "a", a.OutgoingGossip(now))
-	is.Equal(len(answer.Unknown), 5)      // b knows none of the pulses
-	is.Equal(answer.Members[0].Name, "b") // and a did not know b
-	answer = b.HandleGossip(now, "a", a.FullGossip(answer.Unknown))
+	reply := b.HandleGossip(now, "a", a.OutgoingGossip(now))
+	is.Equal(len(reply.Unknown), 5)      // b knows none of the digests
+	is.Equal(reply.Members[0].Name, "b") // a does not know b
+	reply = b.HandleGossip(now, "a", a.FullGossip(reply.Unknown))
 	is.Equal(len(b.Peers()), 6)
-	is.Equal(len(answer.Unknown), 0)
+	is.Equal(len(reply.Unknown), 0)
 	b.Merge(now, "", Gossip{Digests: []Digest{{known[0].hash(), 9}}})
-	answer = b.HandleGossip(now+5*time.Second, "a", a.OutgoingGossip(now+5*time.Second))
-	is.Equal(answer.Digests, []Digest{{known[0].hash(), 9}}) // only what is newer
-	is.Equal(a.Merge(now, "b", answer), nil)
+	reply = b.HandleGossip(now+5*time.Second, "a", a.OutgoingGossip(now+5*time.Second))
+	is.Equal(reply.Digests, []Digest{{known[0].hash(), 9}}) // only the newer heartbeat
+	is.Equal(a.Merge(now, "b", reply), nil)
 	m, _ := a.Find("0")
 	is.Equal(m.Beat, uint64(9))
 }
 
-// TestHomesByRegion checks who is asked first, and who when a region has nobody left.
+// TestHomesByRegion checks that callers get homes of their own region first, and those of another region as a fallback.
 func TestHomesByRegion(t *testing.T) {
 	is := is.New(t)
 	var live []Member
@@ -116,7 +118,7 @@
 		homes := Homes("s", 2, domain, "north", live)
 		is.Equal(homes[0].Region, region)
 		is.Equal(homes[1].Region, region)
-		is.True(homes[len(homes)-1].Region != region) // the other region comes last
+		is.True(homes[len(homes)-1].Region != region) // other regions come last
 		for _, m := range homes[:2] {
 			is.True(slices.ContainsFunc(RegionHomes("s", 2, region, live), func(o Member) bool { return o.Name == m.Name }))
 		}
@@ -126,29 +128,29 @@
 	is.Equal(Homes("s", 1, "unknown", "south", live)[0].Region, "south")
 }
 
-// TestDemandForHomes raises and lowers a service's rate: more homes come soon, fewer late, and neither by a short peak.
+// TestDemandForHomes checks that a service scales up soon after its rate rises, scales down late, and ignores short peaks.
 func TestDemandForHomes(t *testing.T) {
 	is := is.New(t)
-	d := NewHomeScaler()
+	scaler := NewHomeScaler()
 	homes := 1
 	now := time.Duration(0)
-	// hold keeps a whole rate up for a while, shared by the homes there are, and returns the homes at its end.
+	// hold applies a total rate, divided evenly among the current homes, and returns the number of homes at the end.
 	hold := func(total float64, length time.Duration) int {
 		for end := now + length; now < end; now += time.Second {
-			d.Observe(now, "s", total/float64(homes), homes)
-			homes = HomeCount("s", 1, []Member{{Wants: d.Demands()}})
+			scaler.Observe(now, "s", total/float64(homes), homes)
+			homes = HomeCount("s", 1, []Member{{Wants: scaler.Demands()}})
 		}
 		return homes
 	}
 	is.Equal(hold(1400, 10*time.Second), 1)
-	is.Equal(hold(4000, 2*time.Second), 1) // a peak
+	is.Equal(hold(4000, 2*time.Second), 1) // short peak
 	is.Equal(hold(1400, 10*time.Second), 1)
 	is.Equal(hold(4000, 10*time.Second), 3)
 	is.Equal(hold(3500, 5*time.Minute), 3) // no flapping between 2 and 3
 	is.Equal(hold(500, 30*time.Second), 3)
 	is.Equal(hold(500, time.Minute), 1)
 	is.Equal(hold(1e6, 10*time.Second), maxScaledHomes)
-	is.Equal(HomeCount("s", 4, []Member{{Wants: []HomeDemand{{"s", 2}}}}), 4) // never fewer than the note gives
+	is.Equal(HomeCount("s", 4, []Member{{Wants: []HomeDemand{{"s", 2}}}}), 4) // never fewer than configured
 }
 
 // members returns hosts spread over three failure domains.
@@ -160,32 +162,33 @@
 	return list
 }
 
-// TestWatchers checks that each failure domain has its few watchers, and that every host comes to the same ones.
+// TestWatchers checks that each failure domain has perDomain watchers, that every host selects the same ones, and that
+// the departure of one replaces only that one.
 func TestWatchers(t *testing.T) {
 	is := is.New(t)
 	live := members(60)
 	for _, perDomain := range []int{1, 2} {
 		list := Watchers(live, perDomain)
 		is.Equal(len(list), 3*perDomain)
-		named := map[string]bool{}
+		selected := map[string]bool{}
 		for _, m := range list {
-			named[m.Name] = true
+			selected[m.Name] = true
 		}
 		for _, m := range live {
-			is.Equal(IsWatcher(m, live, perDomain), named[m.Name])
+			is.Equal(IsWatcher(m, live, perDomain), selected[m.Name])
 		}
 		without := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Name == list[0].Name })
-		kept := 0
+		unchanged := 0
 		for _, m := range Watchers(without, perDomain) {
-			if named[m.Name] {
-				kept++
+			if selected[m.Name] {
+				unchanged++
 			}
 		}
-		is.Equal(kept, 3*perDomain-1) // a leave moves only its own place
+		is.Equal(unchanged, 3*perDomain-1) // only the departed watcher is replaced
 	}
 }
 
-// TestWatchersAtScale bounds how the cost of choosing watchers grows: ten times the hosts may cost ten times, not a hundred.
+// TestWatchersAtScale checks that the cost of Watchers, counted in allocations, grows linearly with the number of hosts.
 func TestWatchersAtScale(t *testing.T) {
 	is := is.New(t)
 	cost := func(count int) float64 {
