--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -15,7 +15,7 @@
 	// maxRatePerHome is the hysteresis that prevents flapping.
 	scaleDownShare = 0.6
 	// scaleUpDelay and scaleDownDelay are how long the rate must call for the same higher or lower number of homes
-	// before that number is adopted.
+	// before that number takes effect.
 	scaleUpDelay   = 3 * time.Second
 	scaleDownDelay = time.Minute
 	// maxScaledHomes is the maximum number of homes due to load; a note may configure more.
