--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -10,11 +10,13 @@
 	"time"
 )
 
-// Sizes of a connection's buffers; they are held only while a request is under way.
 const (
+	// readBufferBytes and writeBufferBytes are the sizes of a connection's buffers. Only a connection with a request in
+	// flight has buffers; idle ones return them to a pool.
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 2 << 10
-	// maxInlineBody is the largest request body that is written before the answer is read.
+	// maxInlineBody is the largest request body in bytes that is written completely before the response is read. Larger
+	// bodies are written concurrently with reading the response.
 	maxInlineBody = 16 << 10
 )
 
@@ -23,39 +25,42 @@
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 )
 
-// errTooManySkipped reports more answers to other requests than a connection can be trusted with.
-var errTooManySkipped = errors.New("too many answers to other requests")
+// errTooManySkipped reports that a connection delivered maxSkippedResponses responses that belong to other requests.
+var errTooManySkipped = errors.New("too many responses to other requests")
 
-// connection carries one request at a time.
+// connection is a connection to a backend server, which carries one request at a time.
 type connection struct {
 	net.Conn
+	// reader is nil while the connection is idle.
 	reader *bufio.Reader
-	// bodySent is closed when a long request body has been sent, or could not be.
+	// bodySent is closed when the request has been written or writing it has failed; it is nil for requests with a small body.
 	bodySent chan struct{}
-	// sendErr is why a long request body could not be sent; it is read after written.
-	sendErr             error
+	// sendErr is why the request could not be written; it may be read once bodySent is closed.
+	sendErr error
+	// lastUsed is when the last response was read completely; the connection must not be used after idleUntil.
 	lastUsed, idleUntil time.Time
 }
 
-// interrupt ends all reading and writing at once.
+// interrupt makes all pending and future reads and writes fail.
 func (c *connection) interrupt() {
-	// The connection is dropped afterwards, whatever SetDeadline says.
+	// The connection is closed afterwards, so an error makes no difference.
 	_ = c.Conn.SetDeadline(time.Unix(1, 0))
 }
 
-// roundTrip sends a request and reads the head of its answer.
-func (c *connection) roundTrip(r *http.Request, answers func(*http.Request, *http.Response) bool) (*http.Response, error) {
+// roundTrip sends a request and reads the header of its response; match is Config.MatchResponse.
+func (c *connection) roundTrip(r *http.Request, match func(*http.Request, *http.Response) bool) (*http.Response, error) {
 	c.reader = readerPool.Get().(*bufio.Reader)
 	c.reader.Reset(c.Conn)
-	sent := c.send(r)
-	response, err := c.receive(r, answers)
-	if err != nil && sent != nil {
-		return nil, sent
+	sendErr := c.send(r)
+	response, err := c.receive(r, match)
+	if err != nil && sendErr != nil {
+		return nil, sendErr
 	}
 	return response, err
 }
 
-// send writes the request; a long body goes on beside the answer, which may come before all of it was read.
+// send writes the request. A request with a large body is written in the background, since the backend server may respond
+// before it has read the whole body.
 func (c *connection) send(r *http.Request) error {
 	if r.ContentLength >= 0 && r.ContentLength <= maxInlineBody {
 		return c.write(r)
@@ -78,8 +83,9 @@
 	return w.Flush()
 }
 
-// receive reads the head of the answer to the request; answers to other requests are read and dropped.
-func (c *connection) receive(r *http.Request, answers func(*http.Request, *http.Response) bool) (*http.Response, error) {
+// receive reads the header of the response to the request. Informational responses and responses to other requests are
+// skipped.
+func (c *connection) receive(r *http.Request, match func(*http.Request, *http.Response) bool) (*http.Response, error) {
 	for range maxSkippedResponses {
 		response, err := http.ReadResponse(c.reader, r)
 		switch {
@@ -87,7 +93,7 @@
 			return nil, err
 		case response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols:
 			continue
-		case answers == nil || answers(r, response):
+		case match == nil || match(r, response):
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -97,7 +103,7 @@
 	return nil, errTooManySkipped
 }
 
-// release gives the buffers back after a whole answer and reports whether the connection can carry another request.
+// release returns the buffers to the pool after a complete response and reports whether the connection can be reused.
 func (c *connection) release() bool {
 	if c.bodySent != nil {
 		select {
@@ -111,7 +117,7 @@
 		c.bodySent = nil
 	}
 	if c.reader.Buffered() > 0 {
-		// Bytes after a whole answer belong to no request.
+		// Data after the end of the response belongs to no request.
 		return false
 	}
 	c.reader.Reset(nil)
--- a/internal/backend/header.go
+++ b/internal/backend/header.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// hopByHopHeaders are the header fields that end at one connection (RFC 9110, section 7.6.1).
+// hopByHopHeaders are header fields that apply to a single connection and must not be forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHopHeaders removes the fields that concern one connection only, those that Connection names among them.
+// RemoveHopByHopHeaders removes the hop-by-hop fields from a header, including those listed in its Connection field.
 func RemoveHopByHopHeaders(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,4 +1,5 @@
-// Package backend carries requests to backend servers over pooled connections, one request on a connection at a time.
+// Package backend implements an HTTP/1.1 connection pool to one backend server. Unlike http.Transport it never sends a
+// request twice, and its errors say whether the backend server may have received the request.
 package backend
 
 import (
@@ -17,38 +18,44 @@
 
 var namespace = errorx.NewNamespace("backend").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrNotSent reports that no byte of the request reached the backend server; the request may go to another.
+// ErrNotSent reports that no connection could be opened, so no byte of the request was sent and another target may run it.
 var ErrNotSent = namespace.NewType("not_sent")
 
-// ErrPoolExhausted reports that all connections are in use; no byte was sent, and nothing is said of the backend server.
+// ErrPoolExhausted reports that all connections are in use. No byte was sent, and the backend server is not at fault.
 var ErrPoolExhausted = namespace.NewType("full")
 
-// ErrConnectionBroke reports that the connection broke after the request was handed over; it may have run.
+// ErrConnectionBroke reports that the connection broke after sending began; the backend server may have run the request.
 var ErrConnectionBroke = namespace.NewType("broken")
 
-// Times of the pool.
 const (
+	// maxIdleTime is how long a connection may be idle before it is closed.
 	maxIdleTime = 30 * time.Second
-	// defaultRecentUseWindow is how long after its last answer a connection counts as proved alive.
+	// defaultRecentUseWindow is the default of Config.RecentUseWindow.
 	defaultRecentUseWindow = 100 * time.Millisecond
-	// keepAliveMargin is how long before the backend server's own idle timeout a connection is given up.
+	// keepAliveMargin is how long before the backend server's own idle timeout a connection is closed, so that no request is
+	// sent while the backend server closes it.
 	keepAliveMargin = time.Second
-	// defaultUnackedTimeout is how long a connection may leave bytes unacknowledged.
+	// defaultUnackedTimeout is the default of Config.UnackedTimeout.
 	defaultUnackedTimeout = 15 * time.Second
-	// maxSkippedResponses bounds the answers to other requests that are read past.
+	// maxSkippedResponses is the number of responses to other requests after which a connection is closed.
 	maxSkippedResponses = 3
 )
 
-// Config locates one target.
+// Config configures a Pool.
 type Config struct {
-	Address        string
+	// Address is the host and port of the backend server.
+	Address string
+	// MaxConnections is the maximum number of open connections, idle ones included.
 	MaxConnections int
-	DialTimeout    time.Duration
-	// RecentUseWindow is how long after its last answer a connection counts as proved alive; zero means the default.
+	// DialTimeout is the time limit for opening a connection.
+	DialTimeout time.Duration
+	// RecentUseWindow is how long after its last response a connection counts as recently used, and so most probably still
+	// open at the backend server; zero means 100 ms.
 	RecentUseWindow time.Duration
-	// UnackedTimeout is how long a connection may leave bytes unacknowledged; zero means the default.
+	// UnackedTimeout is how long sent data may remain unacknowledged before a connection is closed; zero means 15 s.
+	// It has no effect if Dial is set.
 	UnackedTimeout time.Duration
-	// MatchResponse reports whether a response belongs to the request; nil accepts all. Others are read and dropped.
+	// MatchResponse reports whether a response belongs to a request; other responses are skipped. Nil accepts all responses.
 	MatchResponse func(*http.Request, *http.Response) bool
 	// Dial opens connections; nil means TCP.
 	Dial DialFunc
@@ -57,17 +64,20 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = socket.DialFunc
 
-// Pool holds the connections of one entry host to one target.
+// Pool holds the connections of one entry host to one target, that is, one backend server of a service.
+// It is safe for concurrent use.
 type Pool struct {
-	config         Config
-	mu             sync.Mutex
-	idle           []*connection
+	config Config
+	mu     sync.Mutex
+	// idle holds the connections without a request, the most recently used one last.
+	idle []*connection
+	// open is the number of open connections, including idle ones and those being opened.
 	open           int
 	closed         bool
 	minConnectTime time.Duration
 }
 
-// New returns a pool and the function that closes its idle connections.
+// New returns a pool and a function that closes it: idle connections at once, others at the end of their request.
 func New(c Config) (*Pool, func()) {
 	if c.UnackedTimeout == 0 {
 		c.UnackedTimeout = defaultUnackedTimeout
@@ -90,6 +100,7 @@
 	closeAll(idle)
 }
 
+// removeIdle removes all idle connections from the pool; the caller must hold p.mu and close them.
 func (p *Pool) removeIdle() []*connection {
 	idle := p.idle
 	p.idle = nil
@@ -99,32 +110,34 @@
 
 func closeAll(list []*connection) {
 	for _, c := range list {
-		// Close tells nothing of use on an idle connection.
+		// No data is lost on an idle connection, so an error makes no difference.
 		_ = c.Conn.Close()
 	}
 }
 
-// MinConnectTime returns the shortest time that a connection took to open; 0 before the first.
+// MinConnectTime returns the shortest time that opening a connection took, which approximates the network round-trip time.
+// It returns 0 before the first connection.
 func (p *Pool) MinConnectTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.minConnectTime
 }
 
-// Usage is the number of open and of idle connections.
+// Usage is the number of connections of a Pool.
 type Usage struct {
+	// Open includes idle connections.
 	Open int
 	Idle int
 }
 
-// Usage returns how many connections there are.
+// Usage returns the current number of connections.
 func (p *Pool) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Usage{p.open, len(p.idle)}
 }
 
-// CloseIdle closes all idle connections, after one of them went silent.
+// CloseIdle closes all idle connections. It is called after a connection has gone silent, since the others may be dead too.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.removeIdle()
@@ -132,18 +145,19 @@
 	closeAll(idle)
 }
 
-// Options says how a request may use the pool.
+// Options restricts the connections that a request may use.
 type Options struct {
-	// RecentlyUsed asks for a connection that answered just now, or a new one.
+	// RecentlyUsed allows only a new connection or one with a response within Config.RecentUseWindow. It makes a broken
+	// connection, and thus an unknown outcome, unlikely for requests that must not be sent twice.
 	RecentlyUsed bool
-	// NewConnection asks for a new connection.
+	// NewConnection allows only a new connection.
 	NewConnection bool
 }
 
-// Do hands a request over once. Errors are ErrNotSent, ErrFull or ErrBroken.
-// The response's body must be closed; the connection is used again when the body was read to its end.
-func (p *Pool) Do(r *http.Request, t Options) (*http.Response, error) {
-	c, err := p.acquire(r.Context(), t)
+// Do sends a request once. Errors are of type ErrNotSent, ErrPoolExhausted or ErrConnectionBroke.
+// The caller must close the response's body; the connection is reused if the body was read to its end.
+func (p *Pool) Do(r *http.Request, o Options) (*http.Response, error) {
+	c, err := p.acquire(r.Context(), o)
 	if err != nil {
 		return nil, err
 	}
@@ -158,10 +172,10 @@
 	return response, nil
 }
 
-// acquire returns a connection that no other request uses.
-func (p *Pool) acquire(ctx context.Context, t Options) (*connection, error) {
-	for !t.NewConnection {
-		c := p.popIdle(t.RecentlyUsed)
+// acquire returns an idle connection that the options allow, or opens a new one.
+func (p *Pool) acquire(ctx context.Context, o Options) (*connection, error) {
+	for !o.NewConnection {
+		c := p.popIdle(o.RecentlyUsed)
 		if c == nil {
 			break
 		}
@@ -173,8 +187,9 @@
 	return p.dial(ctx)
 }
 
-// popIdle takes the idle connection that was used last, and closes those idle for too long.
-func (p *Pool) popIdle(proven bool) *connection {
+// popIdle removes and returns the most recently used idle connection, or nil if there is none that may be used. It closes
+// connections that have been idle for too long.
+func (p *Pool) popIdle(recentlyUsed bool) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -182,20 +197,21 @@
 		old := p.idle[0]
 		p.idle = p.idle[1:]
 		p.open--
-		// Close tells nothing of use on an idle connection.
+		// No data is lost on an idle connection, so an error makes no difference.
 		_ = old.Conn.Close()
 	}
 	if len(p.idle) == 0 {
 		return nil
 	}
 	c := p.idle[len(p.idle)-1]
-	if now.After(c.idleUntil) || proven && now.Sub(c.lastUsed) > p.config.RecentUseWindow {
+	if now.After(c.idleUntil) || recentlyUsed && now.Sub(c.lastUsed) > p.config.RecentUseWindow {
 		return nil
 	}
 	p.idle = p.idle[:len(p.idle)-1]
 	return c
 }
 
+// dial opens a connection unless the maximum is reached or the pool is closed.
 func (p *Pool) dial(ctx context.Context) (*connection, error) {
 	p.mu.Lock()
 	if p.open >= p.config.MaxConnections || p.closed {
@@ -212,7 +228,7 @@
 	defer p.mu.Unlock()
 	if err != nil {
 		p.open--
-		return nil, ErrNotSent.New("backend server %s refused the connection (%v); trying the next target", p.config.Address, err)
+		return nil, ErrNotSent.New("connecting to backend server %s failed (%v); trying the next target", p.config.Address, err)
 	}
 	if took := time.Since(start); p.minConnectTime == 0 || took < p.minConnectTime {
 		p.minConnectTime = took
@@ -220,17 +236,17 @@
 	return &connection{Conn: raw}, nil
 }
 
-// discard closes a connection that was in use.
+// discard closes a connection that is not idle.
 func (p *Pool) discard(c *connection) {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
-	// The connection is of no more use, whatever Close says.
+	// The connection is not used any more, so an error makes no difference.
 	_ = c.Conn.Close()
 }
 
-// putIdle takes a connection back after a whole answer; keepAlive is the backend server's own idle timeout.
-func (p *Pool) putIdle(c *connection, keepAlive time.Duration) {
+// putIdle returns a connection to the pool after a complete response; it may be idle for up to maxIdle.
+func (p *Pool) putIdle(c *connection, maxIdle time.Duration) {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
@@ -238,19 +254,21 @@
 		return
 	}
 	c.lastUsed = time.Now()
-	c.idleUntil = c.lastUsed.Add(keepAlive)
+	c.idleUntil = c.lastUsed.Add(maxIdle)
 	p.idle = append(p.idle, c)
 	p.mu.Unlock()
 }
 
-// responseBody gives the connection back when the answer was read whole.
+// responseBody is the body of a response; closing it returns the connection to the pool if the body was read completely.
 type responseBody struct {
 	io.ReadCloser
 	pool       *Pool
 	connection *connection
 	response   *http.Response
-	stop       func() bool
-	complete   bool
+	// stop detaches the connection from the request's context; it returns false if the connection was interrupted.
+	stop func() bool
+	// complete is set when the end of the body was read.
+	complete bool
 }
 
 // Read implements io.Reader.
@@ -268,8 +286,8 @@
 	}
 	b.connection = nil
 	interrupted := !b.stop()
-	whole := b.complete || b.response.ContentLength == 0 || b.ReadCloser == http.NoBody
-	if whole && !interrupted && !b.response.Close && c.release() {
+	complete := b.complete || b.response.ContentLength == 0 || b.ReadCloser == http.NoBody
+	if complete && !interrupted && !b.response.Close && c.release() {
 		b.pool.putIdle(c, idleTimeout(b.response.Header))
 		return nil
 	}
@@ -277,7 +295,7 @@
 	return nil
 }
 
-// idleTimeout returns how long a connection may be idle under the timeout that the backend server names.
+// idleTimeout returns how long a connection may be idle, which the Keep-Alive field of a response header can shorten.
 func idleTimeout(header http.Header) time.Duration {
 	_, text, found := strings.Cut(header.Get("Keep-Alive"), "timeout=")
 	if !found {
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -16,7 +16,7 @@
 
 func TestPoolReusesConnections(t *testing.T) {
 	is := is.New(t)
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "complete") }))
 	defer server.Close()
 	pool, closePool := New(Config{Address: strings.TrimPrefix(server.URL, "http://"), MaxConnections: 4, DialTimeout: time.Second})
 	defer closePool()
@@ -26,13 +26,14 @@
 		is.NoErr(err)
 		text, err := io.ReadAll(response.Body)
 		is.NoErr(err)
-		is.Equal(string(text), "whole")
+		is.Equal(string(text), "complete")
 		is.NoErr(response.Body.Close())
 	}
 	is.Equal(pool.Usage(), Usage{Open: 1, Idle: 1})
 }
 
-// TestPoolHandsOverOnce checks that a keyed POST is not sent again by the HTTP library when its pooled connection breaks.
+// TestPoolHandsOverOnce checks that a POST with an Idempotency-Key is not sent again when its pooled connection breaks, as
+// http.Transport would do.
 func TestPoolHandsOverOnce(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int64
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -8,7 +8,8 @@
 	"sync/atomic"
 )
 
-// Queue is a bounded FIFO queue. An item that is pushed to a full queue is dropped and counted. It is safe for concurrent use.
+// Queue is a bounded FIFO queue. An item that is pushed to a full queue is dropped and counted.
+// It is safe for concurrent use.
 type Queue[T any] struct {
 	items   chan T
 	dropped atomic.Int64
