--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"briarcroft/internal/address"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/steering"
 
 	"github.com/joomcode/errorx"
@@ -87,7 +87,7 @@
 // Answer is how a request ended.
 type Answer struct {
 	Status  int
-	Outcome idempotency.Outcome
+	Outcome claim.Outcome
 	Header  http.Header
 	Body    []byte
 	// Key is the last Idempotency-Key used, and Keys all of them.
@@ -191,7 +191,7 @@
 		if err != nil || answer.Status == http.StatusServiceUnavailable {
 			c.forget(r.Service)
 		}
-		if err == nil && answer.Outcome == idempotency.NotRun || send == 1 && errorx.IsOfType(err, ErrRefused) {
+		if err == nil && answer.Outcome == claim.NotRun || send == 1 && errorx.IsOfType(err, ErrRefused) {
 			key = ""
 		}
 		if !pause(ctx, retryAfter(answer)) {
@@ -203,13 +203,13 @@
 
 // isFinal reports whether there is nothing to gain from sending again.
 func isFinal(r Request, a Answer) bool {
-	if a.Outcome == "" || a.Outcome == idempotency.Ran {
+	if a.Outcome == "" || a.Outcome == claim.Ran {
 		return true
 	}
-	if a.Outcome == idempotency.NotRun {
+	if a.Outcome == claim.NotRun {
 		return a.Status != http.StatusServiceUnavailable && a.Status != http.StatusConflict
 	}
-	return r.Once && a.Header.Get(steering.HeaderReason) == string(idempotency.ReasonResponseLost)
+	return r.Once && a.Header.Get(steering.HeaderReason) == string(claim.ReasonResponseLost)
 }
 
 // aim chooses where to send, and a key for a request that has none yet.
@@ -269,7 +269,7 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	answer := Answer{Status: response.StatusCode, Outcome: idempotency.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
+	answer := Answer{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
 	if err != nil {
 		return answer, ErrCut.New("%s cut its answer after %d bytes: %v", target, len(body), err)
 	}
--- a/internal/idempotency/table.go
+++ b/internal/claim/table.go
@@ -1,4 +1,4 @@
-package idempotency
+package claim
 
 import (
 	"sync"
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"briarcroft/internal/caller"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -44,7 +44,7 @@
 		return lost
 	case a.Status == http.StatusOK:
 		return answeredWhole
-	case a.Outcome == idempotency.NotRun && runs == 0:
+	case a.Outcome == claim.NotRun && runs == 0:
 		return refusedNotRun
 	}
 	return lost
--- a/internal/task/task.go
+++ b/internal/duty/duty.go
@@ -1,5 +1,5 @@
-// Package task runs background tasks, which are goroutines that start and stop together with an entry host.
-package task
+// Package duty runs background tasks, which are goroutines that start and stop together with an entry host.
+package duty
 
 import (
 	"context"
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"briarcroft/internal/address"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/host"
-	"briarcroft/internal/idempotency"
 	"briarcroft/internal/meter"
 	"briarcroft/internal/note"
 	"briarcroft/internal/page"
@@ -23,7 +23,7 @@
 	name := r.URL.Query().Get("Service")
 	service, found := h.steering.Configuration().Service(name)
 	if !found {
-		f.refuse(w, &steering.Refusal{Status: http.StatusNotFound, Outcome: idempotency.NotRun, Reason: "UnknownService"})
+		f.refuse(w, &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "UnknownService"})
 		return
 	}
 	domain := r.URL.Query().Get("Domain")
@@ -33,7 +33,7 @@
 	now := h.now()
 	if h.table.HeartbeatOverdue(now) {
 		// This host was paused and has not yet compared itself with its peers.
-		f.refuse(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: idempotency.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
+		f.refuse(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
 		return
 	}
 	answer := address.Answer{
@@ -95,7 +95,7 @@
 	Services    []steering.Status
 	Latency     []meter.Summary
 	Budget      meter.Usage
-	Claims      idempotency.Size
+	Claims      claim.Size
 	Counters    Counters
 	Process     ProcessStatus
 	Unwritten   int64
--- a/internal/entry/counts.go
+++ b/internal/entry/counts.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/meter"
-	"briarcroft/internal/task"
 )
 
 // Times and sizes of the exchange of counts.
@@ -73,7 +73,7 @@
 	var sequence uint64
 	last := map[string]int{}
 	wait := countsEvery
-	for task.Sleep(ctx, wait) {
+	for duty.Sleep(ctx, wait) {
 		wait = idleCountsEvery
 		shared := h.sharedServices()
 		if len(shared) == 0 {
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
-	"briarcroft/internal/task"
 )
 
 // demandEvery is how often the rates of the services are looked at.
@@ -15,7 +15,7 @@
 func (h *Host) demandDuty(ctx context.Context) {
 	demand := host.NewHomeScaler()
 	last := map[string]int64{}
-	for task.Sleep(ctx, demandEvery) {
+	for duty.Sleep(ctx, demandEvery) {
 		live := h.table.Live(h.now())
 		for _, spec := range h.steering.Configuration().Services {
 			service := h.steering.Services()[spec.Name]
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/record"
-	"briarcroft/internal/task"
 )
 
 // Times of the duties.
@@ -18,7 +18,7 @@
 	noteEvery     = time.Second
 )
 
-func (h *Host) startDuties(d *task.Group) {
+func (h *Host) startDuties(d *duty.Group) {
 	d.Go(h.beatDuty)
 	d.Go(h.noteDuty)
 	d.Go(h.watchDuty)
@@ -32,7 +32,7 @@
 // tickDuty runs the timers of the services.
 func (h *Host) tickDuty(ctx context.Context) {
 	wait := tickEvery
-	for task.Sleep(ctx, wait) {
+	for duty.Sleep(ctx, wait) {
 		wait = idleTickEvery
 		if h.steering.Tick() {
 			wait = tickEvery
@@ -102,7 +102,7 @@
 		if list, err := h.config.HostList.Read(ctx); err == nil {
 			leaving = h.takeHostList(list, leaving)
 		}
-		if !task.Sleep(ctx, hostListEvery) {
+		if !duty.Sleep(ctx, hostListEvery) {
 			return
 		}
 	}
--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/meter"
 	"briarcroft/internal/record"
 	"briarcroft/internal/steering"
@@ -93,7 +93,7 @@
 	}()
 	if o, held := f.host.quarantine.Lookup(f.host.now(), request.Fingerprint); held && request.Fingerprint != 0 {
 		w.Header().Set(steering.HeaderReason, o.Reason)
-		f.refuse(w, &steering.Refusal{Status: http.StatusUnprocessableEntity, Outcome: idempotency.Unknown, Reason: "Quarantined", RetryAfter: o.Remaining})
+		f.refuse(w, &steering.Refusal{Status: http.StatusUnprocessableEntity, Outcome: claim.Unknown, Reason: "Quarantined", RetryAfter: o.Remaining})
 		return
 	}
 	if key := r.Header.Get("Idempotency-Key"); key != "" && !request.Idempotent {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -13,8 +13,9 @@
 
 	"briarcroft/internal/backend"
 	"briarcroft/internal/certificate"
+	"briarcroft/internal/claim"
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
-	"briarcroft/internal/idempotency"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/meter"
 	"briarcroft/internal/note"
@@ -23,7 +24,6 @@
 	"briarcroft/internal/ring"
 	"briarcroft/internal/settings"
 	"briarcroft/internal/steering"
-	"briarcroft/internal/task"
 
 	"github.com/joomcode/errorx"
 	"github.com/rs/zerolog"
@@ -67,10 +67,10 @@
 	table       *host.MemberTable
 	beats       *inner.Heartbeats
 	steering    *steering.Steering
-	claims      *idempotency.Table
-	sealed      *idempotency.SealedTables
+	claims      *claim.Table
+	sealed      *claim.SealedTables
 	parts       *sealParts
-	quarantine  *idempotency.Quarantine
+	quarantine  *claim.Quarantine
 	plain       *plainClaims
 	book        *record.Book
 	histograms  *meter.Histograms
@@ -108,7 +108,7 @@
 	h := &Host{
 		config: c, settings: c.Settings, start: time.Now(), chain: &note.Chain{},
 		hints: ring.NewQueue[hint](ring.Config{Capacity: ringSize}), kick: ring.NewQueue[struct{}](ring.Config{Capacity: 1}),
-		quarantine: idempotency.NewQuarantine(), histograms: meter.NewHistograms(), peerCounts: newPeerCounts(), homes: homes{first: map[string]string{}}, parts: newSealParts(),
+		quarantine: claim.NewQuarantine(), histograms: meter.NewHistograms(), peerCounts: newPeerCounts(), homes: homes{first: map[string]string{}}, parts: newSealParts(),
 	}
 	h.incarnation = uint64(h.start.UnixMilli())<<16 | uint64(rand.Uint32N(1<<16))
 	if err := h.listen(); err != nil {
@@ -159,11 +159,11 @@
 		Book: h.book, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.kickBeat, Dial: h.config.Dial,
 	})
 	h.archive = note.NewArchive(note.ArchiveConfig{Store: h.config.Store})
-	h.claims = idempotency.New(idempotency.Config{
+	h.claims = claim.New(claim.Config{
 		Host: s.Host.Name, Incarnation: h.incarnation, GrantWindow: s.Limits.GrantWindow, MaxRunTime: longestRun,
 		MaxEntries: s.Limits.KeptEntries, MaxKeptBytes: s.Limits.KeptBytes,
 	})
-	h.sealed = idempotency.NewSealedTables(idempotency.SealedTablesConfig{MaxEntries: 4 * s.Limits.KeptEntries})
+	h.sealed = claim.NewSealedTables(claim.SealedTablesConfig{MaxEntries: 4 * s.Limits.KeptEntries})
 	h.plain = newPlainClaims(h.config.Store, s.Limits.ClaimsPerSec)
 	h.budget = meter.NewBudget(meter.BudgetConfig{
 		ProbesPerSec: s.Budget.ProbesPerSec, BytesPerSec: s.Budget.BytesPerSec, CoreShare: s.Budget.CoreShare, Epoch: h.start,
@@ -215,7 +215,7 @@
 
 // Serve runs the host until stop ends, then stops gracefully; it returns at once when force ends.
 func (h *Host) Serve(stop, force context.Context) error {
-	duties := task.NewGroup()
+	duties := duty.NewGroup()
 	defer duties.Stop()
 	innerDone, err := inner.Serve(duties.Context(), inner.ServerConfig{Listener: h.inner, Handler: &peerServer{host: h}, TLS: h.peerTLS})
 	if err != nil {
@@ -239,7 +239,7 @@
 	return err
 }
 
-func (h *Host) waitInner(d *task.Group, done <-chan error) {
+func (h *Host) waitInner(d *duty.Group, done <-chan error) {
 	d.Stop()
 	if err := <-done; err != nil && !errors.Is(err, net.ErrClosed) {
 		h.config.Logger.Debug().Err(err).Msg("inner protocol stopped")
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
+	"briarcroft/internal/claim"
 	"briarcroft/internal/host"
-	"briarcroft/internal/idempotency"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/steering"
 
@@ -25,10 +25,10 @@
 
 // serveKeyed runs a non-idempotent request with an Idempotency-Key at most once.
 func (f *front) serveKeyed(w http.ResponseWriter, r *http.Request, request *steering.Request, text string) {
-	key, err := idempotency.ParseKey(text)
+	key, err := claim.ParseKey(text)
 	if err != nil {
 		w.Header().Set(steering.HeaderReason, err.Error())
-		f.refuse(w, &steering.Refusal{Status: http.StatusBadRequest, Outcome: idempotency.NotRun})
+		f.refuse(w, &steering.Refusal{Status: http.StatusBadRequest, Outcome: claim.NotRun})
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), request.Deadline)
@@ -37,11 +37,11 @@
 }
 
 // runKeyed runs a keyed request here, or has the host of its grant run it.
-func (h *Host) runKeyed(ctx context.Context, r *steering.Request, key idempotency.Key) steering.Result {
+func (h *Host) runKeyed(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	if key.Plain {
 		var claimed bool
 		if key, claimed = h.plain.claim(ctx, key, h.claims.IssueGrant(h.now())); !claimed {
-			return &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: idempotency.NotRun, Reason: "KeyNotClaimed", RetryAfter: time.Second}
+			return &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "KeyNotClaimed", RetryAfter: time.Second}
 		}
 	}
 	if key.Grant.Host == h.Name() && key.Grant.Incarnation == h.incarnation {
@@ -54,18 +54,18 @@
 }
 
 // runOwn runs a request whose grant this incarnation issued.
-func (h *Host) runOwn(ctx context.Context, r *steering.Request, key idempotency.Key) steering.Result {
+func (h *Host) runOwn(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	for {
 		verdict := h.claims.Begin(h.now(), key, r.Fingerprint)
 		switch verdict := verdict.(type) {
-		case idempotency.Run:
+		case claim.Run:
 			return h.runClaimed(ctx, r, key)
-		case idempotency.Join:
+		case claim.Join:
 			h.stats.joined.Add(1)
 			select {
 			case <-verdict.Done:
 			case <-ctx.Done():
-				return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: idempotency.Unknown, Reason: "DeadlinePassed"}
+				return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: claim.Unknown, Reason: "DeadlinePassed"}
 			}
 		default:
 			return h.settled(verdict)
@@ -74,37 +74,37 @@
 }
 
 // settled turns a verdict that needs no run into a result.
-func (h *Host) settled(verdict idempotency.Decision) steering.Result {
+func (h *Host) settled(verdict claim.Decision) steering.Result {
 	switch v := verdict.(type) {
-	case idempotency.StoredResponse:
+	case claim.StoredResponse:
 		h.stats.kept.Add(1)
 		return keptAnswer(v.Response)
-	case idempotency.Refusal:
+	case claim.Refusal:
 		return &steering.Refusal{Status: refusalStatus(v), Outcome: v.Outcome, Reason: string(v.Reason), RetryAfter: v.RetryAfter}
-	case idempotency.Run, idempotency.Join:
+	case claim.Run, claim.Join:
 	}
-	return &steering.Refusal{Status: http.StatusInternalServerError, Outcome: idempotency.Unknown, Reason: "NoVerdict"}
+	return &steering.Refusal{Status: http.StatusInternalServerError, Outcome: claim.Unknown, Reason: "NoVerdict"}
 }
 
-func refusalStatus(r idempotency.Refusal) int {
+func refusalStatus(r claim.Refusal) int {
 	switch r.Reason {
-	case idempotency.ReasonKeyReused:
+	case claim.ReasonKeyReused:
 		return http.StatusUnprocessableEntity
-	case idempotency.ReasonResponseTooLarge, idempotency.ReasonGrantExpired, idempotency.ReasonGrantNotIssued, idempotency.ReasonKeyRefused:
+	case claim.ReasonResponseTooLarge, claim.ReasonGrantExpired, claim.ReasonGrantNotIssued, claim.ReasonKeyRefused:
 		return http.StatusConflict
-	case idempotency.ReasonTableFull, idempotency.ReasonHostLeaving:
+	case claim.ReasonTableFull, claim.ReasonHostLeaving:
 		return http.StatusServiceUnavailable
-	case idempotency.ReasonResponseLost, idempotency.ReasonKeyTooOld, idempotency.ReasonOtherIncarnation:
+	case claim.ReasonResponseLost, claim.ReasonKeyTooOld, claim.ReasonOtherIncarnation:
 	}
 	return http.StatusGatewayTimeout
 }
 
-func keptAnswer(a idempotency.Response) *steering.Answer {
+func keptAnswer(a claim.Response) *steering.Answer {
 	return wholeAnswer(a.Status, fieldsHeader(a.Header), a.Body)
 }
 
 // runClaimed hands the request to a target, once. The run goes on when its caller goes away, so that a resend finds its answer.
-func (h *Host) runClaimed(ctx context.Context, r *steering.Request, key idempotency.Key) steering.Result {
+func (h *Host) runClaimed(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	ended := make(chan steering.Result, 1)
 	go func() {
 		detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
@@ -120,7 +120,7 @@
 	case result := <-ended:
 		return result
 	case <-time.After(time.Until(r.Deadline) + lateAnswer):
-		return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: idempotency.Unknown, Reason: "DeadlinePassed"}
+		return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: claim.Unknown, Reason: "DeadlinePassed"}
 	}
 }
 
@@ -128,11 +128,11 @@
 const lateAnswer = 250 * time.Millisecond
 
 // runToEnd runs a claimed request and tells the table how it ended before anyone else learns it.
-func (h *Host) runToEnd(ctx context.Context, r *steering.Request, key idempotency.Key) steering.Result {
+func (h *Host) runToEnd(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	_, service, found := h.steering.Match(r.Host, pathOf(r.URI), r.Method)
 	if !found {
-		h.claims.Finish(key, idempotency.NotSent{})
-		return &steering.Refusal{Status: http.StatusNotFound, Outcome: idempotency.NotRun, Reason: "NoRule"}
+		h.claims.Finish(key, claim.NotSent{})
+		return &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "NoRule"}
 	}
 	result := service.Run(ctx, r)
 	answer, answered := result.(*steering.Answer)
@@ -141,35 +141,35 @@
 		h.finishRefused(key, refusal)
 		return result
 	}
-	if answer.Outcome == idempotency.NotRun {
-		h.claims.Finish(key, idempotency.NotSent{})
+	if answer.Outcome == claim.NotRun {
+		h.claims.Finish(key, claim.NotSent{})
 		return answer
 	}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(h.settings.Limits.BodyBytes)+1))
 	closeErr := answer.Body.Close()
 	if err != nil || len(body) > h.settings.Limits.BodyBytes {
-		h.claims.Finish(key, idempotency.ResponseLost{})
-		return &steering.Refusal{Status: http.StatusBadGateway, Outcome: idempotency.Unknown, Reason: "AnswerCut"}
+		h.claims.Finish(key, claim.ResponseLost{})
+		return &steering.Refusal{Status: http.StatusBadGateway, Outcome: claim.Unknown, Reason: "AnswerCut"}
 	}
 	dropHops(answer.Header)
 	answer.Header.Set(steering.HeaderTarget, answer.Target)
-	kept := idempotency.Response{Status: answer.Status, Header: headerFields(answer.Header), Body: body}
-	h.claims.Finish(key, idempotency.Completed{Response: kept, Store: closeErr == nil && len(body) <= h.settings.Limits.KeyedBodyBytes})
+	kept := claim.Response{Status: answer.Status, Header: headerFields(answer.Header), Body: body}
+	h.claims.Finish(key, claim.Completed{Response: kept, Store: closeErr == nil && len(body) <= h.settings.Limits.KeyedBodyBytes})
 	whole := keptAnswer(kept)
 	whole.Target = answer.Target
 	return whole
 }
 
-func (h *Host) finishRefused(key idempotency.Key, refusal *steering.Refusal) {
-	if refusal != nil && refusal.Outcome == idempotency.NotRun {
-		h.claims.Finish(key, idempotency.NotSent{})
+func (h *Host) finishRefused(key claim.Key, refusal *steering.Refusal) {
+	if refusal != nil && refusal.Outcome == claim.NotRun {
+		h.claims.Finish(key, claim.NotSent{})
 		return
 	}
-	h.claims.Finish(key, idempotency.ResponseLost{})
+	h.claims.Finish(key, claim.ResponseLost{})
 }
 
 // passOn has the host that issued the grant run the request, or a holder of its sealed table answer for it.
-func (h *Host) passOn(ctx context.Context, r *steering.Request, key idempotency.Key) steering.Result {
+func (h *Host) passOn(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	h.stats.passed.Add(1)
 	request := &inner.PassRequest{
 		Method: r.Method, Host: r.Host, Uri: r.URI, Headers: toWireFields(headerFields(r.Header)), Body: r.Body,
@@ -190,11 +190,11 @@
 			}
 		}
 	}
-	return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: idempotency.Unknown, Reason: "GrantHostUnreachable"}
+	return &steering.Refusal{Status: http.StatusGatewayTimeout, Outcome: claim.Unknown, Reason: "GrantHostUnreachable"}
 }
 
 // passTargets returns who may know of a grant: its incarnation while it lives, then the holders of its sealed table.
-func (h *Host) passTargets(g idempotency.Grant) []string {
+func (h *Host) passTargets(g claim.Grant) []string {
 	var list []string
 	if m, known := h.table.Find(g.Host); known && m.Incarnation == g.Incarnation {
 		list = append(list, m.Inner)
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -5,12 +5,12 @@
 	"encoding/json"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/note"
 	"briarcroft/internal/platform"
 	"briarcroft/internal/record"
-	"briarcroft/internal/task"
 )
 
 // watchersPerDomain is how many hosts of a failure domain read the store for the others.
@@ -116,7 +116,7 @@
 
 // watchDuty holds the store's watch while this host is a watcher.
 func (h *Host) watchDuty(ctx context.Context) {
-	for task.Sleep(ctx, noteEvery) {
+	for duty.Sleep(ctx, noteEvery) {
 		if !h.isWatcher() {
 			continue
 		}
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/steering"
 )
@@ -83,7 +83,7 @@
 
 func (p *peerServer) run(ctx context.Context, r *inner.PassRequest) *inner.PassReply {
 	header := fieldsHeader(fromWireFields(r.Headers))
-	key, err := idempotency.ParseKey(header.Get(passedKey))
+	key, err := claim.ParseKey(header.Get(passedKey))
 	if err != nil {
 		return &inner.PassReply{Status: statusNotHeld}
 	}
@@ -138,7 +138,7 @@
 		}
 		if _, err := w.body.ReadFrom(result.Body); err != nil {
 			w = &replyWriter{header: http.Header{}}
-			refuse(w, &steering.Refusal{Status: http.StatusBadGateway, Outcome: idempotency.Unknown, Reason: "AnswerCut"})
+			refuse(w, &steering.Refusal{Status: http.StatusBadGateway, Outcome: claim.Unknown, Reason: "AnswerCut"})
 		}
 	}
 	return &inner.PassReply{Status: int32(w.status), Headers: toWireFields(headerFields(w.header)), Body: w.body.Bytes()}
@@ -168,7 +168,7 @@
 	}
 	keep := time.Duration(r.RemainingMilliseconds) * time.Millisecond
 	sealedAt := time.Duration(r.SealedAtMilliseconds) * time.Millisecond
-	if !p.host.sealed.Add(p.host.now(), idempotency.Handover{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Retention: keep, Entries: entries}) {
+	if !p.host.sealed.Add(p.host.now(), claim.Handover{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Retention: keep, Entries: entries}) {
 		return nil, inner.ErrPeer.New("host %s has no room for the table of %s; the next holder is asked", p.host.Name(), r.Host)
 	}
 	return &inner.SealReply{}, nil
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
+	"briarcroft/internal/duty"
 	"briarcroft/internal/platform"
-	"briarcroft/internal/task"
 
 	"golang.org/x/time/rate"
 )
@@ -48,7 +48,7 @@
 
 // claim gives a plain key a grant: ours when the claim is won, else the one of the host that holds it.
 // Claimed is false when the store gave no answer; nothing was run then, and a claim that takes effect late names our grant.
-func (p *plainClaims) claim(ctx context.Context, k idempotency.Key, own idempotency.Grant) (key idempotency.Key, claimed bool) {
+func (p *plainClaims) claim(ctx context.Context, k claim.Key, own claim.Grant) (key claim.Key, claimed bool) {
 	if !p.limiter.Allow() {
 		return k, false
 	}
@@ -65,7 +65,7 @@
 		if err == nil {
 			return settled(k, own, result)
 		}
-		if !task.Sleep(ctx, settlePause) {
+		if !duty.Sleep(ctx, settlePause) {
 			break
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // settled returns the key under the grant that the store holds for it.
-func settled(k idempotency.Key, own idempotency.Grant, result platform.CreateResult) (idempotency.Key, bool) {
+func settled(k claim.Key, own claim.Grant, result platform.CreateResult) (claim.Key, bool) {
 	k.Grant = own
 	if result.Won {
 		return k, true
@@ -86,7 +86,7 @@
 	if err != nil {
 		return k, false
 	}
-	k.Grant = idempotency.Grant{Host: o.Host, Incarnation: incarnation, Issued: o.Issued}
+	k.Grant = claim.Grant{Host: o.Host, Incarnation: incarnation, Issued: o.Issued}
 	return k, true
 }
 
--- a/internal/entry/probes.go
+++ b/internal/entry/probes.go
@@ -7,11 +7,11 @@
 	"strconv"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/meter"
 	"briarcroft/internal/record"
 	"briarcroft/internal/route"
 	"briarcroft/internal/steering"
-	"briarcroft/internal/task"
 )
 
 // Times and sizes of probes.
@@ -26,7 +26,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: probeTimeout, DialContext: h.config.Dial}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: probeTimeout}
-	for task.Sleep(ctx, probeEvery) {
+	for duty.Sleep(ctx, probeEvery) {
 		for _, p := range h.steering.Probes() {
 			if !h.budget.Allow(h.now(), meter.ActivityProbe, p.Domain, probeBytes) {
 				h.explainBudget(p.Domain)
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"briarcroft/internal/backend"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/note"
 	"briarcroft/internal/steering"
 
@@ -17,9 +17,9 @@
 
 // noRule refuses a request that no rule matches. With a key it may have run before, where a rule did match.
 func (f *front) noRule(r *http.Request) *steering.Refusal {
-	refusal := &steering.Refusal{Status: http.StatusNotFound, Outcome: idempotency.NotRun, Reason: "NoRule"}
+	refusal := &steering.Refusal{Status: http.StatusNotFound, Outcome: claim.NotRun, Reason: "NoRule"}
 	if r.Header.Get("Idempotency-Key") != "" {
-		refusal.Outcome = idempotency.Unknown
+		refusal.Outcome = claim.Unknown
 	}
 	if f.host.Number() == 0 {
 		refusal.Status, refusal.Reason, refusal.RetryAfter = http.StatusServiceUnavailable, "NoNoteYet", time.Second
@@ -61,7 +61,7 @@
 	return f.hold(w, r, request, body, hold)
 }
 
-var tooLarge = &steering.Refusal{Status: http.StatusRequestEntityTooLarge, Outcome: idempotency.NotRun, Reason: "BodyTooLarge"}
+var tooLarge = &steering.Refusal{Status: http.StatusRequestEntityTooLarge, Outcome: claim.NotRun, Reason: "BodyTooLarge"}
 
 // hold reads a body that is to be held; a caller that stalls is given up on.
 func (f *front) hold(w http.ResponseWriter, r *http.Request, request *steering.Request, body io.Reader, limit int) (*steering.Request, *steering.Refusal) {
@@ -72,7 +72,7 @@
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err != nil:
-		return nil, &steering.Refusal{Status: http.StatusBadRequest, Outcome: idempotency.Unknown, Reason: "BodyCut"}
+		return nil, &steering.Refusal{Status: http.StatusBadRequest, Outcome: claim.Unknown, Reason: "BodyCut"}
 	case len(text) > limit:
 		return nil, tooLarge
 	}
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"briarcroft/internal/address"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/platform/standin"
 	"briarcroft/internal/steering"
 )
@@ -145,7 +145,7 @@
 		switch outcome {
 		case "answered":
 			answers++
-		case string(idempotency.NotRun):
+		case string(claim.NotRun):
 			refusals++
 		}
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
+	"briarcroft/internal/duty"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/record"
-	"briarcroft/internal/task"
 )
 
 // Sizes and times of handing a table over.
@@ -25,7 +25,7 @@
 	h.explain(record.HostLeft, "GracefulStop")
 	h.kickBeat()
 	// Callers keep an answer for its age; until then they still come here.
-	task.Sleep(force, h.settings.Limits.AddressMaxAge+answerMargin)
+	duty.Sleep(force, h.settings.Limits.AddressMaxAge+answerMargin)
 	idle := h.claims.Seal()
 	h.explain(record.HostSealed, "GracefulStop")
 	ctx, cancel := context.WithTimeout(force, h.settings.Limits.StopTimeout)
@@ -59,7 +59,7 @@
 }
 
 // sealRequests cuts a table into parts of a bounded size; an empty table is one part.
-func sealRequests(h idempotency.Handover) []*inner.SealRequest {
+func sealRequests(h claim.Handover) []*inner.SealRequest {
 	var parts []*inner.SealRequest
 	open := func() {
 		parts = append(parts, &inner.SealRequest{
@@ -100,7 +100,7 @@
 
 type sealParted struct {
 	seen    map[uint32]bool
-	entries []idempotency.SealedEntry
+	entries []claim.SealedEntry
 }
 
 // maxParted bounds the tables that are being received at a time.
@@ -109,7 +109,7 @@
 func newSealParts() *sealParts { return &sealParts{tables: map[sealID]*sealParted{}} }
 
 // add takes a part and returns the whole table once all parts are there.
-func (s *sealParts) add(r *inner.SealRequest) ([]idempotency.SealedEntry, bool) {
+func (s *sealParts) add(r *inner.SealRequest) ([]claim.SealedEntry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := sealID{r.Host, r.Incarnation}
@@ -132,12 +132,12 @@
 	return t.entries, true
 }
 
-func fromWireEntries(entries []*inner.SealedEntry) []idempotency.SealedEntry {
-	list := make([]idempotency.SealedEntry, 0, len(entries))
+func fromWireEntries(entries []*inner.SealedEntry) []claim.SealedEntry {
+	list := make([]claim.SealedEntry, 0, len(entries))
 	for _, e := range entries {
-		list = append(list, idempotency.SealedEntry{
-			Key: e.Key, Fingerprint: e.Fingerprint, Outcome: idempotency.Outcome(e.Outcome), HasResponse: e.Kept,
-			Response: idempotency.Response{Status: int(e.Status), Header: fromWireFields(e.Headers), Body: e.Body},
+		list = append(list, claim.SealedEntry{
+			Key: e.Key, Fingerprint: e.Fingerprint, Outcome: claim.Outcome(e.Outcome), HasResponse: e.Kept,
+			Response: claim.Response{Status: int(e.Status), Header: fromWireFields(e.Headers), Body: e.Body},
 		})
 	}
 	return list
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/inner"
 )
 
@@ -16,15 +16,15 @@
 	return list
 }
 
-func fromWireOffenders(quarantines []*inner.Quarantine) []idempotency.QuarantinedRequest {
-	var list []idempotency.QuarantinedRequest
+func fromWireOffenders(quarantines []*inner.Quarantine) []claim.QuarantinedRequest {
+	var list []claim.QuarantinedRequest
 	for _, q := range quarantines {
-		list = append(list, idempotency.QuarantinedRequest{Fingerprint: q.Fingerprint, Remaining: time.Duration(q.RemainingMilliseconds) * time.Millisecond, Reason: q.Reason})
+		list = append(list, claim.QuarantinedRequest{Fingerprint: q.Fingerprint, Remaining: time.Duration(q.RemainingMilliseconds) * time.Millisecond, Reason: q.Reason})
 	}
 	return list
 }
 
-func toWireFields(fields []idempotency.HeaderField) []*inner.Header {
+func toWireFields(fields []claim.HeaderField) []*inner.Header {
 	list := make([]*inner.Header, 0, len(fields))
 	for _, f := range fields {
 		list = append(list, &inner.Header{Name: f.Name, Value: f.Value})
@@ -32,25 +32,25 @@
 	return list
 }
 
-func fromWireFields(headers []*inner.Header) []idempotency.HeaderField {
-	list := make([]idempotency.HeaderField, 0, len(headers))
+func fromWireFields(headers []*inner.Header) []claim.HeaderField {
+	list := make([]claim.HeaderField, 0, len(headers))
 	for _, f := range headers {
-		list = append(list, idempotency.HeaderField{Name: f.Name, Value: f.Value})
+		list = append(list, claim.HeaderField{Name: f.Name, Value: f.Value})
 	}
 	return list
 }
 
-func headerFields(header http.Header) []idempotency.HeaderField {
-	var list []idempotency.HeaderField
+func headerFields(header http.Header) []claim.HeaderField {
+	var list []claim.HeaderField
 	for name, values := range header {
 		for _, value := range values {
-			list = append(list, idempotency.HeaderField{Name: name, Value: value})
+			list = append(list, claim.HeaderField{Name: name, Value: value})
 		}
 	}
 	return list
 }
 
-func fieldsHeader(fields []idempotency.HeaderField) http.Header {
+func fieldsHeader(fields []claim.HeaderField) http.Header {
 	header := http.Header{}
 	for _, f := range fields {
 		header.Add(f.Name, f.Value)
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/page"
 	"briarcroft/internal/ring"
 	"briarcroft/internal/steering"
@@ -99,7 +99,7 @@
 		w.Header().Set(steering.HeaderRetry, steering.RetryDone)
 	}
 	page.Write(w, r.Status, struct {
-		Outcome           idempotency.Outcome
+		Outcome           claim.Outcome
 		Reason            string
 		RetryAfterSeconds float64
 	}{r.Outcome, r.Reason, r.RetryAfter.Seconds()})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/meter"
@@ -24,7 +25,6 @@
 	"briarcroft/internal/route"
 	"briarcroft/internal/settings"
 	"briarcroft/internal/socket"
-	"briarcroft/internal/task"
 
 	"github.com/joomcode/errorx"
 	"github.com/rs/zerolog"
@@ -259,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	d := task.NewGroup()
+	d := duty.NewGroup()
 	defer d.Stop()
 	for _, duty := range []func(context.Context){g.beatDuty, g.watchDuty, g.followDuty, g.catchUpDuty, g.tickDuty, g.rosterDuty} {
 		d.Go(duty)
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -6,13 +6,13 @@
 	"sync"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/placement"
 	"briarcroft/internal/record"
 	"briarcroft/internal/ring"
 	"briarcroft/internal/roster"
 	"briarcroft/internal/route"
-	"briarcroft/internal/task"
 )
 
 // Times of the homes.
@@ -246,7 +246,7 @@
 			g.homes.woken.Pop(woken)
 			cancel()
 		} else {
-			task.Sleep(ctx, wait)
+			duty.Sleep(ctx, wait)
 		}
 		wait = idleTickEvery
 		for _, h := range g.homes.all() {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/record"
-	"briarcroft/internal/task"
 )
 
 // Times of a graceful stop.
@@ -29,11 +29,11 @@
 	g.book.Add(record.Record{Kind: record.HostLeft, Cause: "GracefulStop", Note: g.chain.Number()})
 	limit := g.tunable.Load().Limits.StopTimeout - stopMargin
 	hearing := min(limit/2, keptAtMost*g.tunable.Load().Limits.AddressMaxAge)
-	task.Sleep(force, hearing)
+	duty.Sleep(force, hearing)
 	front()
 	g.closeIdle()
 	for force.Err() == nil && g.now()-started < limit && g.open.Load() > 0 {
-		task.Sleep(force, stopCheck)
+		duty.Sleep(force, stopCheck)
 	}
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 	"time"
 
+	"briarcroft/internal/duty"
 	"briarcroft/internal/host"
 	"briarcroft/internal/inner"
 	"briarcroft/internal/platform"
 	"briarcroft/internal/record"
-	"briarcroft/internal/task"
 
 	"github.com/joomcode/errorx"
 )
@@ -87,11 +87,11 @@
 		g.watch.watching.Store(watching)
 		if !watching {
 			w = watcher{gateway: g}
-			task.Sleep(ctx, watchRetry)
+			duty.Sleep(ctx, watchRetry)
 			continue
 		}
 		if err := w.step(ctx); err != nil && ctx.Err() == nil {
-			task.Sleep(ctx, w.failed(err))
+			duty.Sleep(ctx, w.failed(err))
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	g.tell(g.roster.Apply(g.now(), changes, next), next, false)
 	if len(changes) > 0 {
 		// Changes come in bursts, and each answered call is paid for.
-		task.Sleep(ctx, gatherTime)
+		duty.Sleep(ctx, gatherTime)
 	}
 	return next, nil
 }
@@ -214,7 +214,7 @@
 
 // rosterDuty ends the use of targets whose entries lapsed and did not come back.
 func (g *Gateway) rosterDuty(ctx context.Context) {
-	for task.Sleep(ctx, lapseCheck) {
+	for duty.Sleep(ctx, lapseCheck) {
 		g.roster.Tick(g.now())
 	}
 }
@@ -291,7 +291,7 @@
 		if !ok {
 			return
 		}
-		if task.Sleep(ctx, catchUpAfter) && m.Note > g.chain.Number() {
+		if duty.Sleep(ctx, catchUpAfter) && m.Note > g.chain.Number() {
 			g.catchUp(ctx, m)
 		}
 	}
@@ -336,5 +336,5 @@
 	if ctx.Err() == nil {
 		g.logger.Info().Str("Peer", m.Name).Err(err).Msg("stream of store changes ended")
 	}
-	task.Sleep(ctx, watchRetry)
+	duty.Sleep(ctx, watchRetry)
 }
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -11,7 +11,7 @@
 
 	"briarcroft/internal/admission"
 	"briarcroft/internal/backend"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/record"
 	"briarcroft/internal/route"
 
@@ -151,7 +151,7 @@
 func (s *Service) refused(b *admission.Bound, response *http.Response, answer *Answer, took time.Duration) *failure {
 	s.leave(b, took, route.Refused)
 	s.readRefusal(answer, response)
-	answer.Outcome = idempotency.NotRun
+	answer.Outcome = claim.NotRun
 	if response.Close {
 		s.Drain(b.Target, route.CauseRefusal)
 	}
--- a/internal/steering/request.go
+++ b/internal/steering/request.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/note"
 )
 
@@ -66,13 +66,13 @@
 	Text   []byte
 	Target string
 	// Outcome is set when the answer is the backend's refusal.
-	Outcome idempotency.Outcome
+	Outcome claim.Outcome
 }
 
 // Refusal is an answer of the entry host itself.
 type Refusal struct {
 	Status     int
-	Outcome    idempotency.Outcome
+	Outcome    claim.Outcome
 	Reason     string
 	RetryAfter time.Duration
 	// RetryDone is set when no layer above should try again.
--- a/internal/steering/run.go
+++ b/internal/steering/run.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"briarcroft/internal/backend"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 )
 
 // maxTries is the most targets that one request is handed to at this host.
@@ -69,7 +69,7 @@
 		}
 		return f.answer
 	}
-	refusal := &Refusal{Status: http.StatusServiceUnavailable, Outcome: idempotency.NotRun, RetryDone: done}
+	refusal := &Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, RetryDone: done}
 	switch f.kind {
 	case failedAtGate:
 		refusal.Reason, refusal.RetryAfter = string(f.refused.Reason), f.refused.RetryAfter
@@ -79,9 +79,9 @@
 		refusal.Reason = "BackendServerRefusedConnection"
 		refusal.RetryAfter = time.Second
 	case failedBroken:
-		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusBadGateway, idempotency.Unknown, "ConnectionBroke"
+		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusBadGateway, claim.Unknown, "ConnectionBroke"
 	case failedCancelled:
-		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusGatewayTimeout, idempotency.Unknown, "DeadlinePassed"
+		refusal.Status, refusal.Outcome, refusal.Reason = http.StatusGatewayTimeout, claim.Unknown, "DeadlinePassed"
 	case failedRefused, failedServer:
 	}
 	return refusal
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -9,7 +9,7 @@
 
 	"briarcroft/internal/admission"
 	"briarcroft/internal/backend"
-	"briarcroft/internal/idempotency"
+	"briarcroft/internal/claim"
 	"briarcroft/internal/note"
 	"briarcroft/internal/record"
 	"briarcroft/internal/route"
@@ -18,7 +18,7 @@
 // Config sets up Steering.
 type Config struct {
 	Book       *record.Book
-	Quarantine *idempotency.Quarantine
+	Quarantine *claim.Quarantine
 	// Clock is the host's monotonic clock.
 	Clock func() time.Duration
 	Seed  uint64
