--- a/internal/claim/sealed.go
+++ b/internal/claim/sealed.go
@@ -21,13 +21,14 @@
 	Incarnation uint64
 	// SealedAt is the time of the export since the start of the sealed host.
 	SealedAt time.Duration
-	// Retention is how long the receiver must keep the table; later, no key of its grants can begin or end a run.
+	// Retention is how long the receiver must keep the table. After that, all keys with grants of the sealed host are too
+	// old to be run anywhere.
 	Retention time.Duration
 	Entries   []SealedEntry
 }
 
-// Export returns the whole table. It must be called after the channel that Seal returned is closed; a request that still
-// runs is exported with the outcome Unknown.
+// Export returns the whole table. It is called after the channel that Seal returned is closed, or after a time-out; a
+// request that is still running then is exported with the outcome Unknown.
 func (t *Table) Export(now time.Duration) Handover {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -17,7 +17,8 @@
 	GrantWindow time.Duration
 	// MaxRunTime is the maximum duration of a run.
 	MaxRunTime time.Duration
-	// MaxEntries is the number of keys at which new requests are refused. The table holds up to as many refused keys more.
+	// MaxEntries is the number of keys from which on new requests are refused. Refused keys are recorded as well, until the
+	// table holds twice as many; beyond that, refusals have the outcome Unknown, as a later resend might run.
 	MaxEntries int
 	// MaxKeptBytes is the maximum size in bytes of all stored responses.
 	MaxKeptBytes int
@@ -35,8 +36,8 @@
 	notStored
 	// responseLost means that the request may have run and its response was not received.
 	responseLost
-	// refused means that the request has not run and never will. The key stays in the table so that a delayed earlier
-	// send of the request cannot run after its caller was told NotRun.
+	// refused means that the request has not run and never will under this key. The key stays in the table so that an
+	// earlier, delayed send of the request cannot run after its caller received the outcome NotRun.
 	refused
 )
 
@@ -57,7 +58,7 @@
 	mu      sync.Mutex
 	config  Config
 	entries map[string]*entry
-	// keysByExpiry lists keys by the expires of their entries.
+	// keysByExpiry holds the keys of the entries that expire in each second.
 	keysByExpiry map[int64][]string
 	// sweptUntil is the second before which all expired entries have been dropped.
 	sweptUntil int64
@@ -205,7 +206,8 @@
 	}
 }
 
-// sweepAll is sweep over all keys, which is cheaper than second by second after a long time without calls.
+// sweepAll drops expired entries by visiting all seconds with entries, which is cheaper than visiting every second since the
+// last sweep if that was long ago.
 func (t *Table) sweepAll(second int64) {
 	for expires := range t.keysByExpiry {
 		if expires < second {
@@ -215,7 +217,7 @@
 	t.sweptUntil = second
 }
 
-// dropExpired drops the entries that expire in one second; those that are still running get more time.
+// dropExpired drops the entries that expire in the given second, except that those still running expire MaxRunTime later.
 func (t *Table) dropExpired(second int64) {
 	for _, text := range t.keysByExpiry[second] {
 		e := t.entries[text]
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -7,7 +7,7 @@
 
 // The outcomes.
 const (
-	// NotRun guarantees that no backend server ran the request, and that it will not run under the same key.
+	// NotRun guarantees that no backend server has run the request.
 	NotRun Outcome = "NotRun"
 	// Ran means that a backend server ran the request.
 	Ran Outcome = "Ran"
@@ -18,18 +18,28 @@
 // Reason says why a keyed request is refused.
 type Reason string
 
-// The reasons.
+// The reasons. Their values are part of the protocol with callers.
 const (
-	ReasonGrantExpired     Reason = "GrantExpired"
-	ReasonGrantNotIssued   Reason = "GrantNotIssued"
+	// ReasonGrantExpired means that the grant window has passed, and the request did not run within it.
+	ReasonGrantExpired Reason = "GrantExpired"
+	// ReasonGrantNotIssued means that the grant has an issue time in the future.
+	ReasonGrantNotIssued Reason = "GrantNotIssued"
+	// ReasonOtherIncarnation means that another host, or an earlier start of this one, issued the grant.
 	ReasonOtherIncarnation Reason = "GrantOfAnotherIncarnation"
-	ReasonTableFull        Reason = "TableFull"
-	ReasonHostLeaving      Reason = "HostIsLeaving"
-	ReasonKeyReused        Reason = "KeyUsedForAnotherRequest"
-	ReasonResponseLost     Reason = "AnswerWasLost"
+	// ReasonTableFull means that the table has reached its maximum number of keys.
+	ReasonTableFull Reason = "TableFull"
+	// ReasonHostLeaving means that the host that issued the grant is stopping and starts no further requests.
+	ReasonHostLeaving Reason = "HostIsLeaving"
+	// ReasonKeyReused means that the key was used before for a request with a different fingerprint.
+	ReasonKeyReused Reason = "KeyUsedForAnotherRequest"
+	// ReasonResponseLost means that an earlier run ended without a complete response.
+	ReasonResponseLost Reason = "AnswerWasLost"
+	// ReasonResponseTooLarge means that the response of an earlier run was too large to be stored.
 	ReasonResponseTooLarge Reason = "AnswerTooLargeToKeep"
-	ReasonKeyTooOld        Reason = "KeyTooOld"
-	ReasonKeyRefused       Reason = "KeyWasRefused"
+	// ReasonKeyTooOld means that the key is so old that the record of its run may have been dropped.
+	ReasonKeyTooOld Reason = "KeyTooOld"
+	// ReasonKeyRefused means that an earlier request with the key was refused without running.
+	ReasonKeyRefused Reason = "KeyWasRefused"
 )
 
 // HeaderField is one header field of a response.
--- a/internal/host/member.go
+++ b/internal/host/member.go
@@ -28,7 +28,7 @@
 	Ready bool
 	// Note is the number of the note (revision of the configuration) in force on the host.
 	Note int
-	// Wants lists the services for which the host observes more load than their configured homes carry.
+	// Wants holds the numbers of homes that the host calculates for services from their load; see HomeScaler.
 	Wants []HomeDemand
 	// StoreLost is set while the host cannot reach the platform's store.
 	StoreLost bool
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -104,6 +104,7 @@
 // Leave marks this host as leaving.
 func (t *MemberTable) Leave() { t.update(func(m *Member) { m.Leaving = true }) }
 
+// update changes the state of this host.
 func (t *MemberTable) update(change func(*Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -283,8 +284,8 @@
 	t.discovered = t.discovered || replaced
 	t.appendEvents(p, m, replaced)
 	p.member, p.lastAdvance, p.dead = m, now, false
-	if id := m.hash(); id != p.hash {
-		p.hash, p.stateChanged = id, now
+	if hash := m.hash(); hash != p.hash {
+		p.hash, p.stateChanged = hash, now
 	}
 }
 
@@ -302,7 +303,7 @@
 }
 
 // HeartbeatFailed records that the peer at an inner address did not answer a heartbeat. Only a leaving peer counts as dead
-// at once; any other may still be reachable for the rest of the hosts, and dies when its heartbeat no longer advances.
+// from the next round on; others may still be reachable from other hosts and are subject to the dead timeout.
 func (t *MemberTable) HeartbeatFailed(now time.Duration, inner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
