--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -25,7 +25,7 @@
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 )
 
-// errTooManySkipped reports that a connection delivered maxSkippedResponses responses that belong to other requests.
+// errTooManySkipped reports that maxSkippedResponses responses were received and none of them belongs to the request.
 var errTooManySkipped = errors.New("too many responses to other requests")
 
 // connection is a connection to a backend server, which carries one request at a time.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -28,16 +28,17 @@
 var ErrConnectionBroke = namespace.NewType("broken")
 
 const (
-	// maxIdleTime is how long a connection may be idle before it is closed.
+	// maxIdleTime is how long an idle connection may be reused.
 	maxIdleTime = 30 * time.Second
 	// defaultRecentUseWindow is the default of Config.RecentUseWindow.
 	defaultRecentUseWindow = 100 * time.Millisecond
-	// keepAliveMargin is how long before the backend server's own idle timeout a connection is closed, so that no request is
-	// sent while the backend server closes it.
+	// keepAliveMargin is how long before the backend server's own idle timeout a connection is no longer reused, so that no
+	// request is sent while the backend server closes it.
 	keepAliveMargin = time.Second
 	// defaultUnackedTimeout is the default of Config.UnackedTimeout.
 	defaultUnackedTimeout = 15 * time.Second
-	// maxSkippedResponses is the number of responses to other requests after which a connection is closed.
+	// maxSkippedResponses is the number of skipped responses, informational ones included, after which a request fails and
+	// its connection is closed.
 	maxSkippedResponses = 3
 )
 
--- a/internal/claim/sealed.go
+++ b/internal/claim/sealed.go
@@ -21,8 +21,8 @@
 	Incarnation uint64
 	// SealedAt is the time of the export since the start of the sealed host.
 	SealedAt time.Duration
-	// Retention is how long the receiver must keep the table. After that, all keys with grants of the sealed host are too
-	// old to be run anywhere.
+	// Retention is how long the receiver must keep the table. After that, all requests with grants of the sealed
+	// incarnation are too old to run.
 	Retention time.Duration
 	Entries   []SealedEntry
 }
