--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -33,7 +33,7 @@
 			return err
 		}
 		if n.Follows == 0 {
-			if _, err := (note.Configuration{}).Fold(n); err != nil {
+			if _, err := (note.Configuration{}).Apply(n); err != nil {
 				return err
 			}
 		}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -106,7 +106,7 @@
 		return ExitInput
 	case errorx.IsOfType(err, note.ErrConflict):
 		return ExitConflict
-	case errorx.IsOfType(err, note.ErrUnknown):
+	case errorx.IsOfType(err, note.ErrOutcomeUnknown):
 		return ExitUnknown
 	}
 	return ExitFailed
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -46,8 +46,8 @@
 }
 
 // stretch returns the time that is asked about.
-func (c *explainCommand) stretch(now time.Time) (record.Stretch, error) {
-	s := record.Stretch{From: now.Add(-c.Since), To: now}
+func (c *explainCommand) stretch(now time.Time) (record.TimeRange, error) {
+	s := record.TimeRange{From: now.Add(-c.Since), To: now}
 	if c.Why && c.Target == "" {
 		return s, &flags.Error{Type: flags.ErrRequired, Message: "--why needs --target"}
 	}
@@ -71,7 +71,7 @@
 }
 
 // why prints when the target could get nothing, and how much of the time it could.
-func (c *explainCommand) why(e operator.Explanation, s record.Stretch) error {
+func (c *explainCommand) why(e operator.Explanation, s record.TimeRange) error {
 	timeline := record.Timeline(e.Records, c.Target, s)
 	if c.JSON {
 		return c.json(timeline)
@@ -79,11 +79,11 @@
 	for _, i := range timeline {
 		if !i.Eligible() {
 			fmt.Fprintf(c.out, "%s: nothing from %s to %s (%v): %s since %s under note %d%s\n", i.Host, i.From.Format(timeFormat), i.To.Format(timeFormat),
-				i.Length().Round(time.Millisecond), i.State, i.Cause, i.Note, evidence(i.Evidence))
+				i.Duration().Round(time.Millisecond), i.State, i.Cause, i.Note, evidence(i.Evidence))
 		}
 	}
-	for _, share := range record.Shares(timeline) {
-		fmt.Fprintf(c.out, "%s: could get requests for %v of %v known\n", share.Host, share.Eligible.Round(time.Millisecond), share.Known.Round(time.Millisecond))
+	for _, share := range record.EligibilityByHost(timeline) {
+		fmt.Fprintf(c.out, "%s: could get requests for %v of %v known\n", share.Host, share.Eligible.Round(time.Millisecond), share.Covered.Round(time.Millisecond))
 	}
 	if len(timeline) == 0 {
 		fmt.Fprintf(c.out, "no host holds a record of target %q in this stretch; look into the collected logs\n", c.Target)
--- a/internal/command/report.go
+++ b/internal/command/report.go
@@ -36,7 +36,7 @@
 	}
 	now := time.Now()
 	source := report.Source{
-		Made: now, Stretch: record.Stretch{From: now.Add(-c.Since), To: now}, Verification: verification, Hosts: hosts,
+		Made: now, Stretch: record.TimeRange{From: now.Add(-c.Since), To: now}, Verification: verification, Hosts: hosts,
 		// A target's state at the start of the stretch is in an older record.
 		Explanation: client.Explain(ctx, "", time.Time{}),
 	}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -66,9 +66,9 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
-	done := settings.Follow(ctx, settings.FollowConfig{
-		File: c.Config, Every: reloadEvery, Hup: hup, OnChange: h.Reload,
-		OnRefused: func(err error) { logger.Error().Err(err).Msg("new settings refused; the old ones stay in force") },
+	done := settings.Watch(ctx, settings.WatchConfig{
+		File: c.Config, Interval: reloadEvery, Reload: hup, OnChange: h.Reload,
+		OnRejected: func(err error) { logger.Error().Err(err).Msg("new settings refused; the old ones stay in force") },
 	})
 	return func() {
 		signal.Stop(hup)
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -71,7 +71,7 @@
 		}
 		if s == nil || !s.HasKey(field.Name) {
 			if field.Tag.Get("required") == "true" {
-				return d.Fail(section, field.Name, "is missing; add it")
+				return d.FieldError(section, field.Name, "is missing; add it")
 			}
 			continue
 		}
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Fail returns an ErrField that names the file, line, section and key; remedy says what is wrong and what is allowed.
-func (d *Document) Fail(section, key, remedy string) error {
+// FieldError returns an ErrField that names the file, line, section and key; remedy says what is wrong and what is allowed.
+func (d *Document) FieldError(section, key, remedy string) error {
 	where := fmt.Sprintf("%s:%d: section [%s]", d.file, d.Line(section, key), section)
 	if key != "" {
 		where += " key " + key
@@ -114,7 +114,7 @@
 	for _, s := range d.ini.Sections() {
 		for _, k := range s.Keys() {
 			if len(k.ValueWithShadows()) > 1 {
-				return d.Fail(s.Name(), k.Name(), "is given more than once; keep one of them")
+				return d.FieldError(s.Name(), k.Name(), "is given more than once; keep one of them")
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 		}
 		name := strings.TrimSpace(line[1:strings.Index(line, "]")])
 		if seen[name] {
-			return d.Fail(name, "", "is given more than once; merge the two sections")
+			return d.FieldError(name, "", "is given more than once; merge the two sections")
 		}
 		seen[name] = true
 	}
@@ -145,7 +145,7 @@
 	}
 	for _, k := range s.Keys() {
 		if !slices.Contains(known, k.Name()) {
-			return d.Fail(section, k.Name(), "is unknown; allowed keys: "+strings.Join(known, ", "))
+			return d.FieldError(section, k.Name(), "is unknown; allowed keys: "+strings.Join(known, ", "))
 		}
 	}
 	return nil
@@ -153,13 +153,13 @@
 
 func (d *Document) set(section string, field reflect.StructField, value reflect.Value, text string) error {
 	if allowed := field.Tag.Get("allowed"); allowed != "" && !slices.Contains(strings.Split(allowed, "|"), text) {
-		return d.Fail(section, field.Name, fmt.Sprintf("has value %q; allowed: %s", text, strings.ReplaceAll(allowed, "|", ", ")))
+		return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; allowed: %s", text, strings.ReplaceAll(allowed, "|", ", ")))
 	}
 	remedy := assign(value, text)
 	if remedy == "" {
 		return nil
 	}
-	return d.Fail(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
+	return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
 }
 
 // assign stores text in value by the value's type and returns a remedy when text does not fit.
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -56,7 +56,7 @@
 }
 
 func (h *Host) heartbeatRequest(news host.News) *inner.HeartbeatRequest {
-	request := inner.Request(h.Name(), news)
+	request := inner.NewHeartbeatRequest(h.Name(), news)
 	request.Quarantines = h.offenders()
 	return request
 }
@@ -69,7 +69,7 @@
 func (h *Host) heard(sender string, members []*inner.Member, quarantines []*inner.Quarantine) {
 	h.quarantine.Take(h.now(), fromWireOffenders(quarantines))
 	h.peersRead.Store(true)
-	if m, ahead := inner.Ahead(sender, members, h.chain.Number()); ahead {
+	if m, ahead := inner.SenderWithNewerNote(sender, members, h.chain.Number()); ahead {
 		h.hints.Push(hint{m.Inner, m.Note})
 	}
 	if h.chain.Number() > 0 && !h.table.Self().Ready {
@@ -87,7 +87,7 @@
 
 func (h *Host) explainMembership() {
 	for _, e := range h.table.TakeEvents() {
-		h.book.Add(record.OfMembership(e, h.chain.Number()))
+		h.book.Add(record.FromMembershipEvent(e, h.chain.Number()))
 	}
 	h.explainHomes()
 }
--- a/internal/entry/explain_test.go
+++ b/internal/entry/explain_test.go
@@ -54,7 +54,7 @@
 		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.book.Since("", time.Time{}), forgotten)) // on an idle host too
 		changed := map[int]bool{}
 		for _, i := range seen {
-			f.is.Equal(record.Eligible(records, "s", i.at), i.names) // rebuilt from records
+			f.is.Equal(record.EligibleTargets(records, "s", i.at), i.names) // rebuilt from records
 			changed[len(i.names)] = true
 		}
 		f.is.True(len(changed) >= 3) // the check saw targets go
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -72,7 +72,7 @@
 	parts       *sealParts
 	quarantine  *claim.Quarantine
 	plain       *plainClaims
-	book        *record.Book
+	book        *record.Log
 	histograms  *meter.Histograms
 	budget      *meter.Budget
 	client      *inner.Client
@@ -153,7 +153,7 @@
 		h.callerTLS = files.Callers()
 	}
 	var closeBook, closeClient, closeSteering func()
-	h.book, closeBook = record.New(record.Config{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: bookRecords, Logger: h.config.Logger})
+	h.book, closeBook = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: bookRecords, Logger: h.config.Logger})
 	h.client, closeClient = inner.NewClient(inner.ClientConfig{TLS: h.peerTLS, Dial: h.config.Dial})
 	h.steering, closeSteering = steering.New(steering.Config{
 		Book: h.book, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.kickBeat, Dial: h.config.Dial,
@@ -179,7 +179,7 @@
 		},
 		Seeds: s.Peers.Seeds, PerDomain: peersInDomain, Random: rand.New(rand.NewPCG(h.incarnation, 2)),
 	})
-	h.beats = &inner.Heartbeats{Table: h.table, Client: h.client, Now: h.now, Request: h.heartbeatRequest, Heard: h.takeReply}
+	h.beats = &inner.Heartbeats{Table: h.table, Client: h.client, Now: h.now, NewRequest: h.heartbeatRequest, OnReply: h.takeReply}
 	h.front = h.newServer()
 	return func() {
 		closeSteering()
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -178,14 +178,14 @@
 	request.Headers = append(request.Headers, &inner.Header{Name: passedKey, Value: key.String()})
 	for _, address := range h.passTargets(key.Grant) {
 		for range passTries {
-			reply, err := h.client.PassOn(ctx, address, request)
+			reply, err := h.client.Forward(ctx, address, request)
 			if err == nil && reply.Status == statusNotHeld {
 				break
 			}
 			if err == nil {
 				return passedAnswer(reply)
 			}
-			if ctx.Err() != nil || !errorx.IsOfType(err, inner.ErrSilent) && !errorx.IsOfType(err, inner.ErrPeer) {
+			if ctx.Err() != nil || !errorx.IsOfType(err, inner.ErrStreamTimeout) && !errorx.IsOfType(err, inner.ErrPeerFailed) {
 				break
 			}
 		}
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -64,7 +64,7 @@
 // fetch reads newer notes from a peer.
 func (h *Host) fetch(ctx context.Context, address string) {
 	before := h.chain.Number()
-	reply, err := h.client.Notes(ctx, address, before)
+	reply, err := h.client.FetchNotes(ctx, address, before)
 	if err != nil {
 		return
 	}
@@ -82,7 +82,7 @@
 		if err := json.Unmarshal(reply.Snapshot, &s); err != nil {
 			return note.ErrChain.New("the peer sent a snapshot that cannot be read (%v); ask another", err)
 		}
-		if _, err := chain.AdoptSnapshot(s); err != nil {
+		if _, err := chain.ApplySnapshot(s); err != nil {
 			return err
 		}
 	}
@@ -91,7 +91,7 @@
 		if err := json.Unmarshal(text, &r); err != nil {
 			return note.ErrChain.New("the peer sent a record that cannot be read (%v); ask another", err)
 		}
-		if _, err := chain.Adopt(r); err != nil {
+		if _, err := chain.Apply(r); err != nil {
 			return err
 		}
 	}
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -30,7 +30,7 @@
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	h := p.host
 	h.heard(r.Sender, r.Members, r.Quarantines)
-	reply := inner.Answer(h.table, h.now(), r)
+	reply := inner.HandleHeartbeat(h.table, h.now(), r)
 	reply.Quarantines = h.offenders()
 	return reply, nil
 }
@@ -67,7 +67,7 @@
 	defer cancel()
 	ended := make(chan *inner.PassReply, 1)
 	go func() { ended <- p.run(ctx, r) }()
-	alive := time.NewTicker(inner.AliveEvery)
+	alive := time.NewTicker(inner.KeepAliveInterval)
 	defer alive.Stop()
 	for {
 		select {
@@ -169,7 +169,7 @@
 	keep := time.Duration(r.RemainingMilliseconds) * time.Millisecond
 	sealedAt := time.Duration(r.SealedAtMilliseconds) * time.Millisecond
 	if !p.host.sealed.Put(p.host.now(), claim.Handover{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Keep: keep, Entries: entries}) {
-		return nil, inner.ErrPeer.New("host %s has no room for the table of %s; the next holder is asked", p.host.Name(), r.Host)
+		return nil, inner.ErrPeerFailed.New("host %s has no room for the table of %s; the next holder is asked", p.host.Name(), r.Host)
 	}
 	return &inner.SealReply{}, nil
 }
--- a/internal/entry/through_test.go
+++ b/internal/entry/through_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	configuration, err := note.Configuration{}.Fold(n)
+	configuration, err := note.Configuration{}.Apply(n)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -91,7 +91,7 @@
 	incarnation uint64
 	logger      zerolog.Logger
 	trace       *trace
-	book        *record.Book
+	book        *record.Log
 	chain       *note.Chain
 	roster      *roster.Roster
 	table       *host.Table
@@ -137,7 +137,7 @@
 	g.incarnation = uint64(g.start.UnixMilli())<<16 | uint64(rand.Uint32N(1<<16))
 	var closeBook, closeClient, closeTrace func()
 	g.trace, closeTrace = newTrace(c.Logger)
-	g.book, closeBook = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: bookRecords, Logger: c.Logger})
+	g.book, closeBook = record.NewLog(record.LogConfig{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: bookRecords, Logger: c.Logger})
 	g.client, closeClient = inner.NewClient(inner.ClientConfig{Dial: c.Dial})
 	g.table = host.New(host.Config{
 		Self: host.Member{
@@ -146,9 +146,9 @@
 		},
 		Seeds: c.Settings.Peers.Seeds, PerDomain: peersInDomain, Random: rand.New(rand.NewPCG(g.incarnation, 2)),
 	})
-	g.beats = &inner.Heartbeats{Table: g.table, Client: g.client, Now: g.now, Request: func(n host.News) *inner.HeartbeatRequest {
-		return inner.Request(c.Settings.Host.Name, n)
-	}, Heard: func(r *inner.HeartbeatReply) { g.heard(r.Sender, r.Members) }}
+	g.beats = &inner.Heartbeats{Table: g.table, Client: g.client, Now: g.now, NewRequest: func(n host.News) *inner.HeartbeatRequest {
+		return inner.NewHeartbeatRequest(c.Settings.Host.Name, n)
+	}, OnReply: func(r *inner.HeartbeatReply) { g.heard(r.Sender, r.Members) }}
 	var endAll context.CancelFunc
 	g.background, endAll = context.WithCancel(context.Background())
 	g.rules.Store(&ruleIndex{})
@@ -207,9 +207,9 @@
 	if c.Number <= old.Number {
 		return
 	}
-	difference := note.Difference(old, c)
+	difference := note.Diff(old, c)
 	snapshot := note.Snapshot{Record: note.Record{Number: c.Number, Configuration: c.Hash(), Note: difference}, Configuration: c}
-	if _, err := g.chain.AdoptSnapshot(snapshot); err != nil {
+	if _, err := g.chain.ApplySnapshot(snapshot); err != nil {
 		g.book.Add(record.Record{Kind: record.NoteRejected, Cause: "Snapshot", Note: c.Number, Evidence: record.Evidence{Detail: err.Error()}})
 		return
 	}
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -229,7 +229,7 @@
 		d.local(r.ID.Number, v)
 		return
 	}
-	if !d.verdicts.Push(inner.ToVerdict(r.ID.Number, v)) {
+	if !d.verdicts.Push(inner.EncodeVerdict(r.ID.Number, v)) {
 		// A host that does not read would hold its places until their time limit.
 		o.gateway.stats.slowReaders.Add(1)
 		d.end()
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -224,11 +224,11 @@
 		// Silence counts from now on.
 		k.heard.Store(int64(k.links.gateway.now()))
 	}
-	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, Ask: inner.ToAsk(k.links.gateway.now(), r)})
+	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, Ask: inner.EncodePlaceAsk(k.links.gateway.now(), r)})
 }
 
 func (k *remoteHome) end(e *inquiry, d placement.Done) {
-	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, End: inner.ToEnd(d)})
+	k.push(&inner.PlaceCall{Number: e.number, Service: e.service, End: inner.EncodeRunEnd(d)})
 }
 
 func (k *remoteHome) decided() { k.waiting.Add(-1) }
@@ -294,12 +294,12 @@
 			return
 		}
 		k.heard.Store(int64(k.links.gateway.now()))
-		v := inner.FromVerdict(wire)
+		v := inner.DecodeVerdict(wire)
 		if v == nil || k.links.deliver(wire.Number, k, v) {
 			continue
 		}
 		if target, held := placeOf(v); held {
-			k.push(&inner.PlaceCall{Number: wire.Number, End: inner.ToEnd(placement.Done{Target: target, Outcome: placement.Abandoned})})
+			k.push(&inner.PlaceCall{Number: wire.Number, End: inner.EncodeRunEnd(placement.Done{Target: target, Outcome: placement.Abandoned})})
 		}
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -30,7 +30,7 @@
 // Heartbeat implements inner.DRPCPeerServer.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	p.gateway.heard(r.Sender, r.Members)
-	return inner.Answer(p.gateway.table, p.gateway.now(), r), nil
+	return inner.HandleHeartbeat(p.gateway.table, p.gateway.now(), r), nil
 }
 
 // Place implements inner.DRPCPeerServer: it decides for the host at the other end.
@@ -66,11 +66,11 @@
 		id := placement.ID{Host: d.number, Number: call.Number}
 		switch {
 		case call.Ask != nil:
-			homes.ask(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
+			homes.ask(call.Service, inner.DecodePlaceAsk(p.gateway.now(), id, call.Ask))
 		case call.End != nil && call.Service == "":
-			homes.abandon(inner.FromEnd(id, call.End))
+			homes.abandon(inner.DecodeRunEnd(id, call.End))
 		case call.End != nil:
-			homes.done(call.Service, inner.FromEnd(id, call.End))
+			homes.done(call.Service, inner.DecodeRunEnd(id, call.End))
 		case call.Withdraw:
 			homes.withdraw(call.Service, id)
 		}
@@ -151,7 +151,7 @@
 			return err
 		}
 	}
-	return inner.ErrPeer.New("host %s could not keep up; following again from the start", g.settings.Host.Name)
+	return inner.ErrPeerFailed.New("host %s could not keep up; following again from the start", g.settings.Host.Name)
 }
 
 func toFollowReply(n news) *inner.FollowStoreReply {
@@ -199,6 +199,6 @@
 // explainMembership writes a record for each change of the membership.
 func (g *Gateway) explainMembership() {
 	for _, e := range g.table.TakeEvents() {
-		g.book.Add(record.OfMembership(e, g.chain.Number()))
+		g.book.Add(record.FromMembershipEvent(e, g.chain.Number()))
 	}
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -279,7 +279,7 @@
 
 // heard notes that a peer is ahead of this host.
 func (g *Gateway) heard(sender string, members []*inner.Member) {
-	if m, ahead := inner.Ahead(sender, members, g.chain.Number()); ahead {
+	if m, ahead := inner.SenderWithNewerNote(sender, members, g.chain.Number()); ahead {
 		g.ahead.Push(m)
 	}
 }
--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -14,20 +14,20 @@
 
 var namespace = errorx.NewNamespace("inner").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrSilent reports that a peer sent no byte for too long; the call may be made again on a new connection.
-var ErrSilent = namespace.NewType("silent", errorx.Timeout())
+// ErrStreamTimeout reports that a peer sent no byte for too long; the call may be made again on a new connection.
+var ErrStreamTimeout = namespace.NewType("silent", errorx.Timeout())
 
-// ErrPeer reports that a peer could not be reached or broke the connection.
-var ErrPeer = namespace.NewType("peer")
+// ErrPeerFailed reports that a peer could not be reached or broke the connection.
+var ErrPeerFailed = namespace.NewType("peer")
 
 // Times of the inner protocol.
 const (
 	dialTimeout     = 500 * time.Millisecond
 	idleConnections = 2 * time.Minute
-	// SilentAfter is how long a stream may be without a byte.
-	SilentAfter = 900 * time.Millisecond
-	// AliveEvery is the time between two keep-alive messages on a stream.
-	AliveEvery = 250 * time.Millisecond
+	// StreamTimeout is how long a stream may be without a byte.
+	StreamTimeout = 900 * time.Millisecond
+	// KeepAliveInterval is the time between two keep-alive messages on a stream.
+	KeepAliveInterval = 250 * time.Millisecond
 )
 
 // ClientConfig sets up a Client; TLS is nil for plain connections.
@@ -92,8 +92,8 @@
 	fetchSilence = fetchTimeout / 4
 )
 
-// Notes fetches what a peer knows above a note.
-func (c *Client) Notes(ctx context.Context, address string, above int) (*FetchNotesReply, error) {
+// FetchNotes fetches what a peer knows above a note.
+func (c *Client) FetchNotes(ctx context.Context, address string, above int) (*FetchNotesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	return ask(ctx, c, address, fetchSilence, func(ctx context.Context, peer DRPCPeerClient) (*FetchNotesReply, error) {
@@ -110,7 +110,7 @@
 func (c *Client) dial(ctx context.Context, address string) (drpcpool.Conn, error) {
 	raw, err := c.config.Dial(ctx, "tcp", address)
 	if err != nil {
-		return nil, ErrPeer.New("peer %s refused the connection (%v); it is left to the next heartbeat", address, err)
+		return nil, ErrPeerFailed.New("peer %s refused the connection (%v); it is left to the next heartbeat", address, err)
 	}
 	raw = &countedConn{raw, &c.sent, &c.received}
 	if c.config.TLS != nil {
@@ -139,12 +139,12 @@
 	return n, err
 }
 
-// PassOn sends a keyed request to the host of its grant and waits for the answer.
+// Forward sends a keyed request to the host of its grant and waits for the answer.
 // Every stream has its own liveness check; errors are ErrSilent or ErrPeer.
-func (c *Client) PassOn(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
+func (c *Client) Forward(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(SilentAfter, cancel)
+	silent := time.AfterFunc(StreamTimeout, cancel)
 	defer silent.Stop()
 	stream, err := c.Peer(ctx, address).Pass(ctx, request)
 	if err != nil {
@@ -159,13 +159,13 @@
 		if !reply.Alive {
 			return reply, nil
 		}
-		silent.Reset(SilentAfter)
+		silent.Reset(StreamTimeout)
 	}
 }
 
 func passError(ctx context.Context, address string, err error) error {
 	if ctx.Err() != nil {
-		return ErrSilent.New("peer %s sent nothing for %v; asking again on a new connection", address, SilentAfter)
+		return ErrStreamTimeout.New("peer %s sent nothing for %v; asking again on a new connection", address, StreamTimeout)
 	}
-	return ErrPeer.New("peer %s broke the stream (%v); asking again", address, err)
+	return ErrPeerFailed.New("peer %s broke the stream (%v); asking again", address, err)
 }
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -23,10 +23,10 @@
 	Client *Client
 	// Now returns the time since the host's start.
 	Now func() time.Duration
-	// Request makes the message that tells news.
-	Request func(host.News) *HeartbeatRequest
-	// Heard takes in a reply, whose members are in the table already; nil means that only members are exchanged.
-	Heard func(*HeartbeatReply)
+	// NewRequest makes the message that tells news.
+	NewRequest func(host.News) *HeartbeatRequest
+	// OnReply takes in a reply, whose members are in the table already; nil means that only members are exchanged.
+	OnReply func(*HeartbeatReply)
 }
 
 // Run sends rounds of heartbeats on time, or at once when kicked, until the context ends.
@@ -41,7 +41,7 @@
 
 // Round exchanges heartbeats with the peers at some inner addresses and returns when each has answered or failed.
 func (b *Heartbeats) Round(ctx context.Context, addresses []string) {
-	request := b.Request(b.Table.Outgoing(b.Now()))
+	request := b.NewRequest(b.Table.Outgoing(b.Now()))
 	var group sync.WaitGroup
 	for _, address := range addresses {
 		group.Go(func() { b.exchange(ctx, address, request) })
@@ -65,7 +65,7 @@
 	if len(reply.Unknown) == 0 {
 		return
 	}
-	request = b.Request(b.Table.Full(FromIDs(reply.Unknown)))
+	request = b.NewRequest(b.Table.Full(DecodeMemberHashes(reply.Unknown)))
 	// Without an answer the next round asks again.
 	if reply, err = ask(ctx, b.Client, address, heartbeatSilence, send); err == nil {
 		b.take(reply)
@@ -73,31 +73,31 @@
 }
 
 func (b *Heartbeats) take(reply *HeartbeatReply) {
-	b.Table.Merge(b.Now(), reply.Sender, host.News{Members: FromMembers(reply.Members), Pulses: FromPulses(reply.Pulses)})
-	if b.Heard != nil {
-		b.Heard(reply)
+	b.Table.Merge(b.Now(), reply.Sender, host.News{Members: DecodeMembers(reply.Members), Pulses: DecodeDigests(reply.Pulses)})
+	if b.OnReply != nil {
+		b.OnReply(reply)
 	}
 }
 
-// Answer takes in a peer's heartbeat and returns what that peer does not know.
-func Answer(table *host.Table, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
-	answer := table.Answer(now, r.Sender, host.News{Members: FromMembers(r.Members), Pulses: FromPulses(r.Pulses)})
+// HandleHeartbeat takes in a peer's heartbeat and returns what that peer does not know.
+func HandleHeartbeat(table *host.Table, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
+	answer := table.Answer(now, r.Sender, host.News{Members: DecodeMembers(r.Members), Pulses: DecodeDigests(r.Pulses)})
 	return &HeartbeatReply{
-		Sender: table.Self().Name, Members: ToMembers(answer.Members), Pulses: ToPulses(answer.Pulses), Unknown: ToIDs(answer.Unknown),
+		Sender: table.Self().Name, Members: EncodeMembers(answer.Members), Pulses: EncodeDigests(answer.Pulses), Unknown: EncodeMemberHashes(answer.Unknown),
 	}
 }
 
-// Ahead returns the sender of a heartbeat or its reply when a note above the given one is in force there.
-func Ahead(sender string, members []*Member, note int) (host.Member, bool) {
+// SenderWithNewerNote returns the sender of a heartbeat or its reply when a note above the given one is in force there.
+func SenderWithNewerNote(sender string, members []*Member, note int) (host.Member, bool) {
 	for _, m := range members {
 		if m.Name == sender && int(m.Note) > note {
-			return FromMembers([]*Member{m})[0], true
+			return DecodeMembers([]*Member{m})[0], true
 		}
 	}
 	return host.Member{}, false
 }
 
-// Request makes the message of a heartbeat.
-func Request(sender string, news host.News) *HeartbeatRequest {
-	return &HeartbeatRequest{Sender: sender, Members: ToMembers(news.Members), Pulses: ToPulses(news.Pulses)}
+// NewHeartbeatRequest makes the message of a heartbeat.
+func NewHeartbeatRequest(sender string, news host.News) *HeartbeatRequest {
+	return &HeartbeatRequest{Sender: sender, Members: EncodeMembers(news.Members), Pulses: EncodeDigests(news.Pulses)}
 }
--- a/internal/inner/members.go
+++ b/internal/inner/members.go
@@ -2,8 +2,8 @@
 
 import "briarcroft/internal/host"
 
-// ToMembers encodes members.
-func ToMembers(members []host.Member) []*Member {
+// EncodeMembers encodes members.
+func EncodeMembers(members []host.Member) []*Member {
 	list := make([]*Member, 0, len(members))
 	for _, m := range members {
 		list = append(list, &Member{
@@ -14,8 +14,8 @@
 	return list
 }
 
-// FromMembers decodes members.
-func FromMembers(members []*Member) []host.Member {
+// DecodeMembers decodes members.
+func DecodeMembers(members []*Member) []host.Member {
 	list := make([]host.Member, 0, len(members))
 	for _, m := range members {
 		list = append(list, host.Member{
@@ -42,8 +42,8 @@
 	return list
 }
 
-// ToPulses encodes pulses.
-func ToPulses(pulses []host.Pulse) []*Pulse {
+// EncodeDigests encodes pulses.
+func EncodeDigests(pulses []host.Pulse) []*Pulse {
 	list := make([]*Pulse, 0, len(pulses))
 	for _, p := range pulses {
 		list = append(list, &Pulse{Id: uint32(p.ID), Beat: p.Beat})
@@ -51,8 +51,8 @@
 	return list
 }
 
-// FromPulses decodes pulses.
-func FromPulses(pulses []*Pulse) []host.Pulse {
+// DecodeDigests decodes pulses.
+func DecodeDigests(pulses []*Pulse) []host.Pulse {
 	list := make([]host.Pulse, 0, len(pulses))
 	for _, p := range pulses {
 		list = append(list, host.Pulse{ID: host.ID(p.Id), Beat: p.Beat})
@@ -60,8 +60,8 @@
 	return list
 }
 
-// ToIDs encodes the pulses that were not understood.
-func ToIDs(ids []host.ID) []uint32 {
+// EncodeMemberHashes encodes the pulses that were not understood.
+func EncodeMemberHashes(ids []host.ID) []uint32 {
 	list := make([]uint32, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, uint32(id))
@@ -69,8 +69,8 @@
 	return list
 }
 
-// FromIDs decodes the pulses that were not understood.
-func FromIDs(ids []uint32) []host.ID {
+// DecodeMemberHashes decodes the pulses that were not understood.
+func DecodeMemberHashes(ids []uint32) []host.ID {
 	list := make([]host.ID, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, host.ID(id))
--- a/internal/inner/verdict.go
+++ b/internal/inner/verdict.go
@@ -6,8 +6,8 @@
 	"briarcroft/internal/placement"
 )
 
-// ToVerdict encodes a home's verdict on the request of that number.
-func ToVerdict(number uint64, v placement.Verdict) *PlaceVerdict {
+// EncodeVerdict encodes a home's verdict on the request of that number.
+func EncodeVerdict(number uint64, v placement.Verdict) *PlaceVerdict {
 	switch v := v.(type) {
 	case placement.Placed:
 		return toPlaced(number, VerdictKind_Placed, v)
@@ -29,8 +29,8 @@
 	}
 }
 
-// FromVerdict decodes a home's verdict; it returns nil for one that only shows that the home still listens.
-func FromVerdict(wire *PlaceVerdict) placement.Verdict {
+// DecodeVerdict decodes a home's verdict; it returns nil for one that only shows that the home still listens.
+func DecodeVerdict(wire *PlaceVerdict) placement.Verdict {
 	switch wire.Kind {
 	case VerdictKind_Placed:
 		return fromPlaced(wire)
@@ -54,8 +54,8 @@
 	}
 }
 
-// ToAsk encodes a request for a place; the times left count from now.
-func ToAsk(now time.Duration, r *placement.Request) *PlaceAsk {
+// EncodePlaceAsk encodes a request for a place; the times left count from now.
+func EncodePlaceAsk(now time.Duration, r *placement.Request) *PlaceAsk {
 	return &PlaceAsk{
 		Class: r.Class, Priority: uint32(r.Priority), GoalMicroseconds: (r.Goal - now).Microseconds(),
 		DeadlineMicroseconds: (r.Deadline - now).Microseconds(), Repeatable: r.Repeatable, Tried: r.Tried,
@@ -63,8 +63,8 @@
 	}
 }
 
-// FromAsk decodes a request for a place that came now.
-func FromAsk(now time.Duration, id placement.ID, wire *PlaceAsk) *placement.Request {
+// DecodePlaceAsk decodes a request for a place that came now.
+func DecodePlaceAsk(now time.Duration, id placement.ID, wire *PlaceAsk) *placement.Request {
 	return &placement.Request{
 		ID: id, Class: wire.Class, Priority: int(wire.Priority), Goal: now + microseconds(wire.GoalMicroseconds),
 		Deadline: now + microseconds(wire.DeadlineMicroseconds), Repeatable: wire.Repeatable, Tried: wire.Tried,
@@ -72,8 +72,8 @@
 	}
 }
 
-// ToEnd encodes the end of a run.
-func ToEnd(d placement.Done) *RunEnd {
+// EncodeRunEnd encodes the end of a run.
+func EncodeRunEnd(d placement.Done) *RunEnd {
 	wire := &RunEnd{Target: d.Target, Outcome: uint32(d.Outcome), TookMicroseconds: d.Took.Microseconds(), Bytes: uint32(d.Bytes)}
 	if l := d.Load; l != nil {
 		wire.Load = &TargetLoad{Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots), Pace: l.Pace}
@@ -81,8 +81,8 @@
 	return wire
 }
 
-// FromEnd decodes the end of a run.
-func FromEnd(id placement.ID, wire *RunEnd) placement.Done {
+// DecodeRunEnd decodes the end of a run.
+func DecodeRunEnd(id placement.ID, wire *RunEnd) placement.Done {
 	d := placement.Done{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Took: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
 	if l := wire.Load; l != nil {
 		d.Load = &placement.Load{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -74,7 +74,7 @@
 	if err := decode(entry.Value, &s); err != nil {
 		return err
 	}
-	_, err = chain.AdoptSnapshot(s)
+	_, err = chain.ApplySnapshot(s)
 	return err
 }
 
@@ -91,7 +91,7 @@
 		if err := decode(entry.Value, &r); err != nil {
 			return err
 		}
-		if _, err := chain.Adopt(r); err != nil {
+		if _, err := chain.Apply(r); err != nil {
 			return err
 		}
 	}
@@ -116,7 +116,7 @@
 	if n.Follows != head.Number {
 		return Record{}, conflict(n, head)
 	}
-	next, err := configuration.Fold(n)
+	next, err := configuration.Apply(n)
 	if err != nil {
 		return Record{}, err
 	}
@@ -150,7 +150,7 @@
 		select {
 		case <-time.After(a.pause):
 		case <-ctx.Done():
-			return ErrUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again", r.Number, err, r.Number, r.Nonce)
+			return ErrOutcomeUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again", r.Number, err, r.Number, r.Nonce)
 		}
 	}
 }
@@ -183,9 +183,9 @@
 	_, _ = a.store.Swap(ctx, SnapshotKey, value, entry.Revision)
 }
 
-// Walk checks the whole chain in the store from the first note on, and returns its head and the hash of every record.
+// Verify checks the whole chain in the store from the first note on, and returns its head and the hash of every record.
 // Errors are platform.ErrUnavailable, or ErrChain together with the last record that is in order.
-func (a *Archive) Walk(ctx context.Context) (Record, map[int]string, error) {
+func (a *Archive) Verify(ctx context.Context) (Record, map[int]string, error) {
 	chain := &Chain{}
 	hashes := map[int]string{}
 	for {
@@ -202,7 +202,7 @@
 			if entry.Key != Key(r.Number) {
 				return head, hashes, ErrChain.New("key %s holds note %d; restore the key", entry.Key, r.Number)
 			}
-			if _, err := chain.Adopt(r); err != nil {
+			if _, err := chain.Apply(r); err != nil {
 				return head, hashes, err
 			}
 			head, hashes[r.Number], _ = chain.Head()
--- a/internal/note/chain.go
+++ b/internal/note/chain.go
@@ -28,9 +28,9 @@
 	return c.head.Number
 }
 
-// Adopt puts the next record in force.
+// Apply puts the next record in force.
 // It reports false without error for a record that is not newer, and ErrChain for one that does not follow the head.
-func (c *Chain) Adopt(r Record) (bool, error) {
+func (c *Chain) Apply(r Record) (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Number <= c.head.Number {
@@ -39,7 +39,7 @@
 	if r.Number != c.head.Number+1 || r.Previous != c.headHash {
 		return false, ErrChain.New("note %d does not follow note %d; fetch what lies between", r.Number, c.head.Number)
 	}
-	next, err := c.configuration.Fold(r.Note)
+	next, err := c.configuration.Apply(r.Note)
 	if err != nil {
 		return false, ErrChain.New("note %d does not fold onto note %d: %v", r.Number, c.head.Number, err)
 	}
@@ -54,8 +54,8 @@
 	return true, nil
 }
 
-// AdoptSnapshot puts a snapshot in force if it is newer than the head; errors are ErrChain.
-func (c *Chain) AdoptSnapshot(s Snapshot) (bool, error) {
+// ApplySnapshot puts a snapshot in force if it is newer than the head; errors are ErrChain.
+func (c *Chain) ApplySnapshot(s Snapshot) (bool, error) {
 	if err := s.Check(); err != nil {
 		return false, err
 	}
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -116,16 +116,16 @@
 				from, to := hosts[rapid.IntRange(0, 2).Draw(t, "from")], hosts[rapid.IntRange(0, 2).Draw(t, "to")]
 				snapshot, records := from.Since(rapid.IntRange(0, len(accepted)).Draw(t, "above"))
 				if snapshot != nil {
-					_, _ = to.AdoptSnapshot(*snapshot)
+					_, _ = to.ApplySnapshot(*snapshot)
 				}
 				for _, r := range records {
-					_, _ = to.Adopt(r)
+					_, _ = to.Apply(r)
 				}
 			},
 			"forge": func(t *rapid.T) {
 				head, _, _ := hosts[0].Head()
 				forged := Record{Number: head.Number + 1, Previous: "forged", Note: addition(head.Number, "forged")}
-				if adopted, _ := hosts[0].Adopt(forged); adopted {
+				if adopted, _ := hosts[0].Apply(forged); adopted {
 					t.Fatal("a forged record was adopted")
 				}
 			},
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := NewArchive(ArchiveConfig{Store: store}).Publish(ctx, addition(0, "s"), "n", time.Unix(0, 0))
-	is.True(errorx.IsOfType(err, ErrUnknown))
+	is.True(errorx.IsOfType(err, ErrOutcomeUnknown))
 }
 
 func TestWalkFindsTampering(t *testing.T) {
@@ -168,12 +168,12 @@
 		_, err := archive.Publish(context.Background(), addition(i, fmt.Sprint("s", i)), "n", time.Unix(0, 0))
 		is.NoErr(err)
 	}
-	head, hashes, err := archive.Walk(context.Background())
+	head, hashes, err := archive.Verify(context.Background())
 	is.NoErr(err)
 	is.Equal(head.Number, 5)
 	is.Equal(len(hashes), 5)
 	store.keys[Key(3)] = []byte(strings.Replace(string(store.keys[Key(3)]), `"Reason":"r"`, `"Reason":"x"`, 1))
-	head, _, err = archive.Walk(context.Background())
+	head, _, err = archive.Verify(context.Background())
 	is.True(errorx.IsOfType(err, ErrChain))
 	is.Equal(head.Number, 3) // the record after the changed one does not follow it
 }
@@ -210,7 +210,7 @@
 }
 
 func TestFoldRefusesWhatDoesNotFit(t *testing.T) {
-	base, err := Configuration{}.Fold(Note{
+	base, err := Configuration{}.Apply(Note{
 		Services: []Service{{Name: "s"}}, Targets: []Target{{Name: "t", Service: "s", Address: "127.0.0.1:1"}},
 		Rules: []Rule{{Name: "r", Service: "s", Path: "/"}},
 	})
@@ -230,7 +230,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			after, err := base.Fold(c.note)
+			after, err := base.Apply(c.note)
 			is.True(errorx.IsOfType(err, ErrInvalid))
 			is.True(strings.Contains(err.Error(), c.want))
 			is.Equal(after.Hash(), base.Hash()) // nothing changed
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -24,8 +24,8 @@
 	Limits *Limits `json:",omitempty"`
 }
 
-// Fold returns the configuration after the note; errors are ErrInvalid and leave c as it was.
-func (c Configuration) Fold(n Note) (Configuration, error) {
+// Apply returns the configuration after the note; errors are ErrInvalid and leave c as it was.
+func (c Configuration) Apply(n Note) (Configuration, error) {
 	next := Configuration{Number: c.Number + 1}
 	var err error
 	if next.Services, err = fold(c.Services, n.Services, n.Withdraw.Services, "Service", serviceName); err != nil {
--- a/internal/note/difference.go
+++ b/internal/note/diff.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Difference returns the release note that leads from one configuration to another.
-func Difference(old, next Configuration) Note {
+// Diff returns the release note that leads from one configuration to another.
+func Diff(old, next Configuration) Note {
 	n := Note{Follows: old.Number, Operator: "platform", Reason: fmt.Sprintf("configuration %d of the platform", next.Number)}
 	n.Services, n.Withdraw.Services = difference(old.Services, next.Services, serviceName)
 	n.Targets, n.Withdraw.Targets = difference(old.Targets, next.Targets, targetName)
--- a/internal/note/note.go
+++ b/internal/note/note.go
@@ -12,8 +12,8 @@
 // ErrConflict reports that another note took the number; the message names it and what to do.
 var ErrConflict = namespace.NewType("conflict")
 
-// ErrUnknown reports that the store gave no answer on whether the note was accepted.
-var ErrUnknown = namespace.NewType("unknown")
+// ErrOutcomeUnknown reports that the store gave no answer on whether the note was accepted.
+var ErrOutcomeUnknown = namespace.NewType("unknown")
 
 // ErrChain reports a record that does not follow the one before it.
 var ErrChain = namespace.NewType("chain")
--- a/internal/note/parse.go
+++ b/internal/note/parse.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if !slices.Contains(d.Sections(), "Note") {
-		return n, d.Fail("Note", "", "is missing; add [Note] with Follows, Operator and Reason")
+		return n, d.FieldError("Note", "", "is missing; add [Note] with Follows, Operator and Reason")
 	}
 	return n, nil
 }
@@ -48,7 +48,7 @@
 		return d.Decode(section, &n.Withdraw)
 	case "Service", "Target", "Rule":
 		if name == "" || strings.ContainsAny(name, " ,/\"") {
-			return d.Fail(section, "", "needs one name of letters, digits, - . and _, as in ["+kind+" lookup-1]")
+			return d.FieldError(section, "", "needs one name of letters, digits, - . and _, as in ["+kind+" lookup-1]")
 		}
 	}
 	switch kind {
@@ -59,7 +59,7 @@
 	case "Rule":
 		return n.parseRule(d, section, name)
 	}
-	return d.Fail(section, "", "is unknown; allowed: Note, Service NAME, Target NAME, Rule NAME, Withdraw")
+	return d.FieldError(section, "", "is unknown; allowed: Note, Service NAME, Target NAME, Rule NAME, Withdraw")
 }
 
 func (n *Note) parseHead(d *document.Document, section string) error {
@@ -82,13 +82,13 @@
 	}
 	switch {
 	case s.Homes < 1:
-		return d.Fail(section, "Homes", "must be 1 or more")
+		return d.FieldError(section, "Homes", "must be 1 or more")
 	case s.QueueLimit < 1:
-		return d.Fail(section, "QueueLimit", "must be 1 or more")
+		return d.FieldError(section, "QueueLimit", "must be 1 or more")
 	case s.RetryRatio > 1:
-		return d.Fail(section, "RetryRatio", "must lie between 0 and 1")
+		return d.FieldError(section, "RetryRatio", "must lie between 0 and 1")
 	case s.ReportPath != "" && !strings.HasPrefix(s.ReportPath, "/"):
-		return d.Fail(section, "ReportPath", "must start with /")
+		return d.FieldError(section, "ReportPath", "must start with /")
 	}
 	n.Services = append(n.Services, s)
 	return nil
@@ -102,11 +102,11 @@
 	ip, port, err := net.SplitHostPort(t.Address)
 	switch {
 	case err != nil || net.ParseIP(ip) == nil || port == "":
-		return d.Fail(section, "Address", "must be an IP number and port such as 127.0.0.1:7001")
+		return d.FieldError(section, "Address", "must be an IP number and port such as 127.0.0.1:7001")
 	case t.Slots < 1:
-		return d.Fail(section, "Slots", "must be 1 or more")
+		return d.FieldError(section, "Slots", "must be 1 or more")
 	case t.Connections < t.Slots:
-		return d.Fail(section, "Connections", "must be at least Slots")
+		return d.FieldError(section, "Connections", "must be at least Slots")
 	}
 	n.Targets = append(n.Targets, t)
 	return nil
@@ -119,15 +119,15 @@
 	}
 	switch {
 	case !strings.HasPrefix(r.Path, "/"):
-		return d.Fail(section, "Path", "must start with /")
+		return d.FieldError(section, "Path", "must start with /")
 	case r.Weight < 1:
-		return d.Fail(section, "Weight", "must be 1 or more")
+		return d.FieldError(section, "Weight", "must be 1 or more")
 	case r.Deadline <= 0 || r.Deadline > maxDeadline:
-		return d.Fail(section, "Deadline", "must be above zero and at most "+maxDeadline.String())
+		return d.FieldError(section, "Deadline", "must be above zero and at most "+maxDeadline.String())
 	}
 	for _, status := range r.NotRunStatuses {
 		if status < 400 || status > 599 {
-			return d.Fail(section, "NotRunStatuses", "may hold statuses from 400 to 599 only")
+			return d.FieldError(section, "NotRunStatuses", "may hold statuses from 400 to 599 only")
 		}
 	}
 	n.Rules = append(n.Rules, r)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -134,7 +134,7 @@
 // Verify walks the chain in the store from the first note and compares every host's answer with its head.
 // Errors are platform.ErrUnavailable.
 func Verify(ctx context.Context, store platform.Store, hosts []HostStatus) (Verification, error) {
-	head, hashes, err := note.NewArchive(note.ArchiveConfig{Store: store}).Walk(ctx)
+	head, hashes, err := note.NewArchive(note.ArchiveConfig{Store: store}).Verify(ctx)
 	if errorx.IsOfType(err, platform.ErrUnavailable) {
 		return Verification{}, err
 	}
--- a/internal/record/book.go
+++ b/internal/record/log.go
@@ -13,26 +13,26 @@
 // writeBacklog is how many records may wait for the log's writer.
 const writeBacklog = 1024
 
-// Book holds a host's newest records in a bounded ring and writes each to the structured log.
-type Book struct {
-	config   Config
+// Log holds a host's newest records in a bounded ring and writes each to the structured log.
+type Log struct {
+	config   LogConfig
 	recent   *ring.Recent[Record]
 	write    *ring.Ring[Record]
 	mu       sync.Mutex
 	sequence uint64
 }
 
-// Config sets up a Book; Capacity is the number of records kept.
-type Config struct {
+// LogConfig sets up a Book; Capacity is the number of records kept.
+type LogConfig struct {
 	Host        string
 	Incarnation uint64
 	Capacity    int
 	Logger      zerolog.Logger
 }
 
-// New returns an empty book and the function that stops its writer after what it holds is written.
-func New(c Config) (*Book, func()) {
-	b := &Book{
+// NewLog returns an empty book and the function that stops its writer after what it holds is written.
+func NewLog(c LogConfig) (*Log, func()) {
+	b := &Log{
 		config: c,
 		recent: ring.NewRecent[Record](ring.Config{Capacity: c.Capacity}),
 		write:  ring.New[Record](ring.Config{Capacity: writeBacklog}),
@@ -47,7 +47,7 @@
 }
 
 // Add stamps and stores a record.
-func (b *Book) Add(r Record) {
+func (b *Log) Add(r Record) {
 	b.mu.Lock()
 	b.sequence++
 	r.Time, r.Host, r.Incarnation, r.Sequence = time.Now().UTC(), b.config.Host, b.config.Incarnation, b.sequence
@@ -58,7 +58,7 @@
 
 // Since returns the records not older than since that concern a target, oldest first.
 // An empty target selects all; records without a target concern every target.
-func (b *Book) Since(target string, since time.Time) []Record {
+func (b *Log) Since(target string, since time.Time) []Record {
 	var records []Record
 	for _, r := range b.recent.Items() {
 		if !r.Time.Before(since) && (target == "" || r.Target == "" || r.Target == target) {
@@ -69,9 +69,9 @@
 }
 
 // Unwritten returns how many records were kept but not logged, because the log could not keep up.
-func (b *Book) Unwritten() int64 { return b.write.Dropped() }
+func (b *Log) Unwritten() int64 { return b.write.Dropped() }
 
-func (b *Book) writeAll(ctx context.Context, done chan<- struct{}) {
+func (b *Log) writeAll(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for {
 		r, ok := b.write.Pop(ctx)
@@ -83,7 +83,7 @@
 	}
 }
 
-func (b *Book) drain() {
+func (b *Log) drain() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range writeBacklog {
@@ -96,7 +96,7 @@
 }
 
 // log writes one record in the event schema that every event shares.
-func (b *Book) log(r Record) {
+func (b *Log) log(r Record) {
 	b.config.Logger.Info().
 		Time("At", r.Time).
 		Uint64("Sequence", r.Sequence).
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -2,8 +2,8 @@
 
 import "briarcroft/internal/host"
 
-// OfMembership returns the record of one change of the membership.
-func OfMembership(e host.Event, number int) Record {
+// FromMembershipEvent returns the record of one change of the membership.
+func FromMembershipEvent(e host.Event, number int) Record {
 	r := Record{Note: number, Evidence: Evidence{Peer: e.Member.Name, Detail: e.Member.Inner}}
 	switch e.Kind {
 	case host.Joined:
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -12,21 +12,21 @@
 
 // The kinds of record.
 const (
-	NoteAdopted     Kind = "NoteAdopted"
-	NoteRejected    Kind = "NoteRejected"
-	TargetMoved     Kind = "TargetMoved"
-	TargetForgotten Kind = "TargetForgotten"
-	HostJoined      Kind = "HostJoined"
-	HostLeft        Kind = "HostLeft"
-	HostPaused      Kind = "HostPaused"
-	HostSealed      Kind = "HostSealed"
-	HomeMoved       Kind = "HomeMoved"
-	Quarantined     Kind = "RequestQuarantined"
-	BudgetExhausted Kind = "BudgetExhausted"
-	OverloadBegan   Kind = "OverloadBegan"
-	OverloadEnded   Kind = "OverloadEnded"
-	StoreLost       Kind = "StoreLost"
-	StoreReturned   Kind = "StoreReturned"
+	NoteAdopted        Kind = "NoteAdopted"
+	NoteRejected       Kind = "NoteRejected"
+	TargetMoved        Kind = "TargetMoved"
+	TargetForgotten    Kind = "TargetForgotten"
+	HostJoined         Kind = "HostJoined"
+	HostLeft           Kind = "HostLeft"
+	HostPaused         Kind = "HostPaused"
+	HostSealed         Kind = "HostSealed"
+	HomeMoved          Kind = "HomeMoved"
+	RequestQuarantined Kind = "RequestQuarantined"
+	BudgetExhausted    Kind = "BudgetExhausted"
+	OverloadBegan      Kind = "OverloadBegan"
+	OverloadEnded      Kind = "OverloadEnded"
+	StoreLost          Kind = "StoreLost"
+	StoreReturned      Kind = "StoreReturned"
 )
 
 // Evidence is what a decision was based on; fields that do not apply are zero.
@@ -64,8 +64,8 @@
 	})
 }
 
-// Eligible returns, from one host's records alone, the targets of a service that could get new requests at an instant, sorted.
-func Eligible(records []Record, service string, at time.Time) []string {
+// EligibleTargets returns, from one host's records alone, the targets of a service that could get new requests at an instant, sorted.
+func EligibleTargets(records []Record, service string, at time.Time) []string {
 	states := map[string]string{}
 	for _, r := range records {
 		if r.Service != service || r.Time.After(at) {
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -8,7 +8,7 @@
 )
 
 // ServeHTTP answers with the records that concern the parameter Target since the time Since; both may be left out.
-func (b *Book) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since := time.Time{}
 	if text := r.URL.Query().Get("Since"); text != "" {
 		var err error
--- a/internal/record/timeline.go
+++ b/internal/record/timeline.go
@@ -20,14 +20,14 @@
 	Evidence    Evidence
 }
 
-// Length returns how long the interval lasted.
-func (i Interval) Length() time.Duration { return i.To.Sub(i.From) }
+// Duration returns how long the interval lasted.
+func (i Interval) Duration() time.Duration { return i.To.Sub(i.From) }
 
 // Eligible reports whether the target could get new requests in the interval.
 func (i Interval) Eligible() bool { return i.State == "Live" || i.State == "Ramping" }
 
-// Stretch is a period that is asked about.
-type Stretch struct {
+// TimeRange is a period that is asked about.
+type TimeRange struct {
 	From time.Time
 	To   time.Time
 }
@@ -42,7 +42,7 @@
 // Timeline returns the intervals of a target's states that reach into a stretch, by host and time.
 // Time before a host's first record of the target is left out: the host did not run, did not know the target,
 // or no longer holds the record.
-func Timeline(records []Record, target string, s Stretch) []Interval {
+func Timeline(records []Record, target string, s TimeRange) []Interval {
 	open := map[line]Interval{}
 	var list []Interval
 	sorted := slices.Clone(records)
@@ -72,7 +72,7 @@
 }
 
 // clip cuts intervals to a stretch, drops those outside, and sorts the rest.
-func clip(list []Interval, s Stretch) []Interval {
+func clip(list []Interval, s TimeRange) []Interval {
 	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(s.To) || !i.To.After(s.From) })
 	for i := range list {
 		if list[i].From.Before(s.From) {
@@ -88,32 +88,32 @@
 	return list
 }
 
-// Share is how much of a stretch a target was eligible on one host.
-type Share struct {
+// Eligibility is how much of a stretch a target was eligible on one host.
+type Eligibility struct {
 	Host     string
 	Eligible time.Duration
-	// Known is how much of the stretch the host's records cover.
-	Known time.Duration
+	// Covered is how much of the stretch the host's records cover.
+	Covered time.Duration
 }
 
-// Shares sums a timeline by host.
-func Shares(timeline []Interval) []Share {
-	byHost := map[string]*Share{}
+// EligibilityByHost sums a timeline by host.
+func EligibilityByHost(timeline []Interval) []Eligibility {
+	byHost := map[string]*Eligibility{}
 	for _, i := range timeline {
 		s := byHost[i.Host]
 		if s == nil {
-			s = &Share{Host: i.Host}
+			s = &Eligibility{Host: i.Host}
 			byHost[i.Host] = s
 		}
-		s.Known += i.Length()
+		s.Covered += i.Duration()
 		if i.Eligible() {
-			s.Eligible += i.Length()
+			s.Eligible += i.Duration()
 		}
 	}
-	var list []Share
+	var list []Eligibility
 	for _, s := range byHost {
 		list = append(list, *s)
 	}
-	slices.SortFunc(list, func(a, b Share) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(list, func(a, b Eligibility) int { return cmp.Compare(a.Host, b.Host) })
 	return list
 }
--- a/internal/record/timeline_test.go
+++ b/internal/record/timeline_test.go
@@ -23,7 +23,7 @@
 		moved(40, "b", "t", "Draining", "WithdrawnByNote"),
 		{Time: at(50), Host: "b", Kind: TargetForgotten, Service: "s", Target: "t"},
 	}
-	list := Timeline(records, "t", Stretch{at(10), at(60)})
+	list := Timeline(records, "t", TimeRange{at(10), at(60)})
 	type row struct {
 		host, state string
 		from, to    int
@@ -35,7 +35,7 @@
 	is.Equal(rows, []row{
 		{"a", "Live", 10, 20}, {"a", "Ejected", 20, 30}, {"a", "Ramping", 30, 60}, {"b", "Live", 10, 40}, {"b", "Draining", 40, 50},
 	})
-	is.Equal(Shares(list), []Share{{"a", 40 * time.Second, 50 * time.Second}, {"b", 30 * time.Second, 40 * time.Second}})
-	is.Equal(Eligible(records[:4], "s", at(25)), []string{"t"}) // host b alone would say so; hosts are asked one by one
-	is.Equal(len(Timeline(records, "t", Stretch{at(-20), at(-10)})), 0)
+	is.Equal(EligibilityByHost(list), []Eligibility{{"a", 40 * time.Second, 50 * time.Second}, {"b", 30 * time.Second, 40 * time.Second}})
+	is.Equal(EligibleTargets(records[:4], "s", at(25)), []string{"t"}) // host b alone would say so; hosts are asked one by one
+	is.Equal(len(Timeline(records, "t", TimeRange{at(-20), at(-10)})), 0)
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -15,7 +15,7 @@
 // Source is everything that a page is made from.
 type Source struct {
 	Made         time.Time
-	Stretch      record.Stretch
+	Stretch      record.TimeRange
 	Verification operator.Verification
 	Hosts        []operator.HostStatus
 	Explanation  operator.Explanation
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -49,7 +49,7 @@
 }
 
 // newPlot draws intervals over a stretch; rows are sorted by target and host.
-func newPlot(intervals []record.Interval, s record.Stretch) plot {
+func newPlot(intervals []record.Interval, s record.TimeRange) plot {
 	type line struct{ target, host string }
 	rows := map[line][]record.Interval{}
 	var lines []line
@@ -75,9 +75,9 @@
 }
 
 // newBar draws one interval in row n; even the shortest one can be seen.
-func newBar(i record.Interval, s record.Stretch, scale float64, n int) bar {
+func newBar(i record.Interval, s record.TimeRange, scale float64, n int) bar {
 	return bar{
-		X: labelWidth + i.From.Sub(s.From).Seconds()*scale, Width: max(leastWidth, i.Length().Seconds()*scale),
+		X: labelWidth + i.From.Sub(s.From).Seconds()*scale, Width: max(leastWidth, i.Duration().Seconds()*scale),
 		Y: n*rowHeight + 2, Height: rowHeight - 4, Class: i.State,
 		Title: fmt.Sprintf("%s from %s to %s: %s, note %d", i.State, i.From.Format(clock), i.To.Format(clock), i.Cause, i.Note),
 	}
@@ -86,7 +86,7 @@
 // clock is how times of day are shown.
 const clock = "15:04:05.000"
 
-func marks(s record.Stretch, scale float64) []mark {
+func marks(s record.TimeRange, scale float64) []mark {
 	var list []mark
 	step := s.To.Sub(s.From) / axisMarks
 	for n := range axisMarks {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -30,7 +30,7 @@
 		}}
 	}
 	source := Source{
-		Made: start, Stretch: record.Stretch{From: start, To: start.Add(100 * time.Second)},
+		Made: start, Stretch: record.TimeRange{From: start, To: start.Add(100 * time.Second)},
 		Verification: operator.Verification{Number: 2, Findings: []operator.Finding{{Host: "entry-1", Agrees: true}, {Host: "odd", Detail: "has note 1 in force; the newest is 2"}}},
 		Hosts:        []operator.HostStatus{status("entry-1", 3), status("entry-2", 4)},
 		Explanation: operator.Explanation{Records: []record.Record{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -163,7 +163,7 @@
 	}
 	for _, name := range d.Sections() {
 		if !known[name] {
-			return s, d.Fail(name, "", "is unknown; allowed sections: "+strings.Join(names, ", "))
+			return s, d.FieldError(name, "", "is unknown; allowed sections: "+strings.Join(names, ", "))
 		}
 	}
 	for _, section := range sections {
@@ -183,22 +183,22 @@
 	}
 	for _, a := range addresses {
 		if !isAddress(a.value) {
-			return d.Fail(a.section, a.key, "has value \""+a.value+"\"; write an IP number and port such as 127.0.0.1:8080")
+			return d.FieldError(a.section, a.key, "has value \""+a.value+"\"; write an IP number and port such as 127.0.0.1:8080")
 		}
 	}
 	for _, a := range []struct{ key, value string }{{"Announced", s.Host.Announced}, {"Ready", s.Host.Ready}, {"Directory", s.Host.Directory}, {"Metrics", s.Host.Metrics}} {
 		if a.value != "" && !isAddress(a.value) {
-			return d.Fail("Host", a.key, "has value \""+a.value+"\"; write an IP number and port such as 127.0.0.1:8080")
+			return d.FieldError("Host", a.key, "has value \""+a.value+"\"; write an IP number and port such as 127.0.0.1:8080")
 		}
 	}
 	if !isURL(s.Platform.Store) {
-		return d.Fail("Platform", "Store", "must be a URL such as http://127.0.0.1:2379")
+		return d.FieldError("Platform", "Store", "must be a URL such as http://127.0.0.1:2379")
 	}
 	if s.Platform.HostList != "" && !isURL(s.Platform.HostList) {
-		return d.Fail("Platform", "HostList", "must be a URL such as http://127.0.0.1:2380/Hosts")
+		return d.FieldError("Platform", "HostList", "must be a URL such as http://127.0.0.1:2380/Hosts")
 	}
 	if strings.ContainsAny(s.Host.Name, " ./,\"") {
-		return d.Fail("Host", "Name", "may hold letters, digits, - and _ only")
+		return d.FieldError("Host", "Name", "may hold letters, digits, - and _ only")
 	}
 	return checkNumbers(d, s)
 }
@@ -216,24 +216,24 @@
 	}
 	for _, p := range positive {
 		if !p.ok {
-			return d.Fail("Limits", p.key, "is too small; write a value above zero (AddressMaxAge: 1s or more)")
+			return d.FieldError("Limits", p.key, "is too small; write a value above zero (AddressMaxAge: 1s or more)")
 		}
 	}
 	if s.Platform.Timeout <= 0 {
-		return d.Fail("Platform", "Timeout", "must be above zero; write a duration such as 2s")
+		return d.FieldError("Platform", "Timeout", "must be above zero; write a duration such as 2s")
 	}
 	if s.Retries.Window < time.Second {
-		return d.Fail("Retries", "Window", "must be at least 1s; write a duration such as 10s")
+		return d.FieldError("Retries", "Window", "must be at least 1s; write a duration such as 10s")
 	}
 	if s.Budget.CoreShare > 1 {
-		return d.Fail("Budget", "CoreShare", "must lie between 0 and 1")
+		return d.FieldError("Budget", "CoreShare", "must lie between 0 and 1")
 	}
 	t := s.TLS
 	if (t.CallerCertificate == "") != (t.CallerKey == "") {
-		return d.Fail("TLS", "CallerKey", "needs CallerCertificate and CallerKey together")
+		return d.FieldError("TLS", "CallerKey", "needs CallerCertificate and CallerKey together")
 	}
 	if (t.PeerCertificate == "") != (t.PeerKey == "") || (t.PeerCertificate == "") != (t.PeerAuthority == "") {
-		return d.Fail("TLS", "PeerKey", "needs PeerCertificate, PeerKey and PeerAuthority together")
+		return d.FieldError("TLS", "PeerKey", "needs PeerCertificate, PeerKey and PeerAuthority together")
 	}
 	return nil
 }
--- a/internal/settings/follow.go
+++ b/internal/settings/watch.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// FollowConfig sets up Follow.
-type FollowConfig struct {
+// WatchConfig sets up Follow.
+type WatchConfig struct {
 	File string
-	// Every is how often the file is read, and Hup asks for a reading at once.
-	Every time.Duration
-	Hup   <-chan os.Signal
+	// Interval is how often the file is read, and Hup asks for a reading at once.
+	Interval time.Duration
+	Reload   <-chan os.Signal
 	// OnChange gets settings that differ from the last ones, and OnRefused why new ones are not taken.
-	OnChange  func(Settings)
-	OnRefused func(error)
+	OnChange   func(Settings)
+	OnRejected func(error)
 }
 
-// Follow reads a settings file again and again until the context ends, and reports its end on the channel.
+// Watch reads a settings file again and again until the context ends, and reports its end on the channel.
 // A file that can't be used changes nothing.
-func Follow(ctx context.Context, c FollowConfig) <-chan struct{} {
+func Watch(ctx context.Context, c WatchConfig) <-chan struct{} {
 	last, err := os.ReadFile(c.File)
 	if err != nil {
-		c.OnRefused(ErrFile.New("%v; the settings in force stay", err))
+		c.OnRejected(ErrFile.New("%v; the settings in force stay", err))
 	}
 	done := make(chan struct{})
 	go func() {
@@ -33,14 +33,14 @@
 	return done
 }
 
-func follow(ctx context.Context, c FollowConfig, last []byte) {
-	ticker := time.NewTicker(c.Every)
+func follow(ctx context.Context, c WatchConfig, last []byte) {
+	ticker := time.NewTicker(c.Interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Hup:
+		case <-c.Reload:
 		case <-ticker.C:
 		}
 		text, err := os.ReadFile(c.File)
@@ -49,12 +49,12 @@
 		}
 		last = text
 		if err != nil {
-			c.OnRefused(ErrFile.New("%v; the settings in force stay", err))
+			c.OnRejected(ErrFile.New("%v; the settings in force stay", err))
 			continue
 		}
 		s, err := Parse(c.File, text)
 		if err != nil {
-			c.OnRefused(err)
+			c.OnRejected(err)
 			continue
 		}
 		c.OnChange(s)
--- a/internal/settings/follow_test.go
+++ b/internal/settings/watch_test.go
@@ -25,9 +25,9 @@
 		hup := make(chan os.Signal, 1)
 		var seeds []string
 		refused := 0
-		done := Follow(ctx, FollowConfig{
-			File: file, Every: 2 * time.Second, Hup: hup,
-			OnChange: func(s Settings) { seeds = s.Peers.Seeds }, OnRefused: func(error) { refused++ },
+		done := Watch(ctx, WatchConfig{
+			File: file, Interval: 2 * time.Second, Reload: hup,
+			OnChange: func(s Settings) { seeds = s.Peers.Seeds }, OnRejected: func(error) { refused++ },
 		})
 		write(goodSettings + "127.0.0.1:5\n")
 		hup <- syscall.SIGHUP
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -140,7 +140,7 @@
 		return route.Failed
 	}
 	s.steering.config.Book.Add(record.Record{
-		Kind: record.Quarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.steering.note(),
+		Kind: record.RequestQuarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.steering.note(),
 		Evidence: record.Evidence{Detail: strconv.FormatUint(r.Fingerprint, 16)},
 	})
 	s.steering.config.OnQuarantine()
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -17,7 +17,7 @@
 
 // Config sets up Steering.
 type Config struct {
-	Book       *record.Book
+	Book       *record.Log
 	Quarantine *claim.Quarantine
 	// Clock is the host's monotonic clock.
 	Clock func() time.Duration
