--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -75,7 +75,7 @@
 			}
 			continue
 		}
-		if err := d.set(section, field, value.Field(i), strings.TrimSpace(s.Key(field.Name).Value())); err != nil {
+		if err := d.setField(section, field, value.Field(i), strings.TrimSpace(s.Key(field.Name).Value())); err != nil {
 			return err
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 // FieldError returns an ErrField that names the file, line, section and key; remedy says what is wrong and what is allowed.
-func (d *Document) FieldError(section, key, remedy string) error {
-	where := fmt.Sprintf("%s:%d: section [%s]", d.file, d.Line(section, key), section)
+func (d *Document) FieldError(section, key, problem string) error {
+	location := fmt.Sprintf("%s:%d: section [%s]", d.file, d.Line(section, key), section)
 	if key != "" {
-		where += " key " + key
+		location += " key " + key
 	}
-	return ErrField.New("%s %s", where, remedy)
+	return ErrField.New("%s %s", location, problem)
 }
 
 // Line returns the 1-based line of a key, or of its section header when the key is absent, or 1.
@@ -137,33 +137,33 @@
 	if err != nil {
 		return nil
 	}
-	var known []string
+	var allowed []string
 	for i := range t.NumField() {
 		if t.Field(i).Tag.Get("ini") != "-" {
-			known = append(known, t.Field(i).Name)
+			allowed = append(allowed, t.Field(i).Name)
 		}
 	}
 	for _, k := range s.Keys() {
-		if !slices.Contains(known, k.Name()) {
-			return d.FieldError(section, k.Name(), "is unknown; allowed keys: "+strings.Join(known, ", "))
+		if !slices.Contains(allowed, k.Name()) {
+			return d.FieldError(section, k.Name(), "is unknown; allowed keys: "+strings.Join(allowed, ", "))
 		}
 	}
 	return nil
 }
 
-func (d *Document) set(section string, field reflect.StructField, value reflect.Value, text string) error {
+func (d *Document) setField(section string, field reflect.StructField, value reflect.Value, text string) error {
 	if allowed := field.Tag.Get("allowed"); allowed != "" && !slices.Contains(strings.Split(allowed, "|"), text) {
 		return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; allowed: %s", text, strings.ReplaceAll(allowed, "|", ", ")))
 	}
-	remedy := assign(value, text)
+	remedy := parseInto(value, text)
 	if remedy == "" {
 		return nil
 	}
 	return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
 }
 
-// assign stores text in value by the value's type and returns a remedy when text does not fit.
-func assign(value reflect.Value, text string) string {
+// parseInto stores text in value by the value's type and returns a remedy when text does not fit.
+func parseInto(value reflect.Value, text string) string {
 	switch value.Interface().(type) {
 	case string:
 		value.SetString(text)
@@ -194,14 +194,14 @@
 	case []string:
 		value.Set(reflect.ValueOf(splitList(text)))
 	case []int:
-		return assignInts(value, text)
+		return parseInts(value, text)
 	default:
 		return "this build cannot read a key of type " + value.Type().String()
 	}
 	return ""
 }
 
-func assignInts(value reflect.Value, text string) string {
+func parseInts(value reflect.Value, text string) string {
 	var list []int
 	for _, part := range splitList(text) {
 		n, err := strconv.Atoi(part)
--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -22,8 +22,8 @@
 
 // Times of the inner protocol.
 const (
-	dialTimeout     = 500 * time.Millisecond
-	idleConnections = 2 * time.Minute
+	dialTimeout = 500 * time.Millisecond
+	idleTimeout = 2 * time.Minute
 	// StreamTimeout is how long a stream may be without a byte.
 	StreamTimeout = 900 * time.Millisecond
 	// KeepAliveInterval is the time between two keep-alive messages on a stream.
@@ -53,7 +53,7 @@
 		c.Dial = dialer.DialContext
 	}
 	client := &Client{config: c}
-	client.pool = drpcpool.New[string, drpcpool.Conn](drpcpool.Options{Expiration: idleConnections, KeyCapacity: 8})
+	client.pool = drpcpool.New[string, drpcpool.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: 8})
 	return client, func() { _ = client.pool.Close() }
 }
 
@@ -62,22 +62,22 @@
 	return NewDRPCPeerClient(c.pool.Get(ctx, address, c.dial))
 }
 
-// ask makes a short call. When the peer stays silent for a while, it is asked once more on a new connection: an open one may lose
+// callWithRetry makes a short call. When the peer stays silent for a while, it is asked once more on a new connection: an open one may lose
 // everything in one direction without an error.
-func ask[R any](ctx context.Context, c *Client, address string, silence time.Duration, call func(context.Context, DRPCPeerClient) (R, error)) (R, error) {
-	first, cancel := context.WithTimeout(ctx, silence)
-	reply, err := call(first, c.Peer(first, address))
-	silent := first.Err() != nil
+func callWithRetry[R any](ctx context.Context, c *Client, address string, firstTimeout time.Duration, call func(context.Context, DRPCPeerClient) (R, error)) (R, error) {
+	firstCtx, cancel := context.WithTimeout(ctx, firstTimeout)
+	reply, err := call(firstCtx, c.Peer(firstCtx, address))
+	timedOut := firstCtx.Err() != nil
 	cancel()
-	if err == nil || !silent || ctx.Err() != nil {
+	if err == nil || !timedOut || ctx.Err() != nil {
 		return reply, err
 	}
-	c.forget(address)
+	c.closeIdle(address)
 	return call(ctx, c.Peer(ctx, address))
 }
 
-// forget closes the idle connections to a peer.
-func (c *Client) forget(address string) {
+// closeIdle closes the idle connections to a peer.
+func (c *Client) closeIdle(address string) {
 	for conn, found := c.pool.Take(address); found; conn, found = c.pool.Take(address) {
 		// The connection is given up; what its end says changes nothing.
 		_ = conn.Close()
@@ -88,15 +88,15 @@
 const (
 	// fetchTimeout is how long a fetch may take in all, enough for a large snapshot on a slow line.
 	fetchTimeout = 2 * time.Second
-	// fetchSilence is how long one may go unanswered before it is tried again on a new connection.
-	fetchSilence = fetchTimeout / 4
+	// firstFetchTimeout is how long one may go unanswered before it is tried again on a new connection.
+	firstFetchTimeout = fetchTimeout / 4
 )
 
 // FetchNotes fetches what a peer knows above a note.
 func (c *Client) FetchNotes(ctx context.Context, address string, above int) (*FetchNotesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	return ask(ctx, c, address, fetchSilence, func(ctx context.Context, peer DRPCPeerClient) (*FetchNotesReply, error) {
+	return callWithRetry(ctx, c, address, firstFetchTimeout, func(ctx context.Context, peer DRPCPeerClient) (*FetchNotesReply, error) {
 		return peer.FetchNotes(ctx, &FetchNotesRequest{Above: int64(above)})
 	})
 }
@@ -108,15 +108,15 @@
 func (c *Client) BytesReceived() int64 { return c.received.Load() }
 
 func (c *Client) dial(ctx context.Context, address string) (drpcpool.Conn, error) {
-	raw, err := c.config.Dial(ctx, "tcp", address)
+	conn, err := c.config.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, ErrPeerFailed.New("peer %s refused the connection (%v); it is left to the next heartbeat", address, err)
 	}
-	raw = &countedConn{raw, &c.sent, &c.received}
+	conn = &countedConn{conn, &c.sent, &c.received}
 	if c.config.TLS != nil {
-		raw = tls.Client(raw, c.config.TLS)
+		conn = tls.Client(conn, c.config.TLS)
 	}
-	return drpcconn.New(raw), nil
+	return drpcconn.New(conn), nil
 }
 
 // countedConn counts the bytes of a connection.
@@ -144,26 +144,26 @@
 func (c *Client) Forward(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(StreamTimeout, cancel)
-	defer silent.Stop()
+	timer := time.AfterFunc(StreamTimeout, cancel)
+	defer timer.Stop()
 	stream, err := c.Peer(ctx, address).Pass(ctx, request)
 	if err != nil {
-		return nil, passError(ctx, address, err)
+		return nil, forwardError(ctx, address, err)
 	}
 	defer stream.Close()
 	for {
 		reply, err := stream.Recv()
 		if err != nil {
-			return nil, passError(ctx, address, err)
+			return nil, forwardError(ctx, address, err)
 		}
 		if !reply.Alive {
 			return reply, nil
 		}
-		silent.Reset(StreamTimeout)
+		timer.Reset(StreamTimeout)
 	}
 }
 
-func passError(ctx context.Context, address string, err error) error {
+func forwardError(ctx context.Context, address string, err error) error {
 	if ctx.Err() != nil {
 		return ErrStreamTimeout.New("peer %s sent nothing for %v; asking again on a new connection", address, StreamTimeout)
 	}
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -13,8 +13,8 @@
 const (
 	// heartbeatTimeout is how long one may take in all, a little less than the time between two rounds.
 	heartbeatTimeout = host.BeatEvery - 50*time.Millisecond
-	// heartbeatSilence is how long one may go unanswered before it goes out again on a new connection.
-	heartbeatSilence = heartbeatTimeout / 2
+	// firstHeartbeatTimeout is how long one may go unanswered before it goes out again on a new connection.
+	firstHeartbeatTimeout = heartbeatTimeout / 2
 )
 
 // Heartbeats exchanges what a host knows of the members with its peers.
@@ -30,60 +30,60 @@
 }
 
 // Run sends rounds of heartbeats on time, or at once when kicked, until the context ends.
-func (b *Heartbeats) Run(ctx context.Context, kick *ring.Ring[struct{}], round func(context.Context)) {
+func (h *Heartbeats) Run(ctx context.Context, trigger *ring.Ring[struct{}], round func(context.Context)) {
 	for ctx.Err() == nil {
 		round(ctx)
-		wait, cancel := context.WithTimeout(ctx, b.Table.NextBeat())
-		kick.Pop(wait)
+		wait, cancel := context.WithTimeout(ctx, h.Table.NextBeat())
+		trigger.Pop(wait)
 		cancel()
 	}
 }
 
 // Round exchanges heartbeats with the peers at some inner addresses and returns when each has answered or failed.
-func (b *Heartbeats) Round(ctx context.Context, addresses []string) {
-	request := b.NewRequest(b.Table.Outgoing(b.Now()))
+func (h *Heartbeats) Round(ctx context.Context, addresses []string) {
+	request := h.NewRequest(h.Table.Outgoing(h.Now()))
 	var group sync.WaitGroup
 	for _, address := range addresses {
-		group.Go(func() { b.exchange(ctx, address, request) })
+		group.Go(func() { h.exchange(ctx, address, request) })
 	}
 	group.Wait()
 }
 
 // exchange exchanges members with one peer, and sends in full what the peer could not place.
-func (b *Heartbeats) exchange(ctx context.Context, address string, request *HeartbeatRequest) {
+func (h *Heartbeats) exchange(ctx context.Context, address string, request *HeartbeatRequest) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	send := func(ctx context.Context, peer DRPCPeerClient) (*HeartbeatReply, error) {
 		return peer.Heartbeat(ctx, request)
 	}
-	reply, err := ask(ctx, b.Client, address, heartbeatSilence, send)
+	reply, err := callWithRetry(ctx, h.Client, address, firstHeartbeatTimeout, send)
 	if err != nil {
-		b.Table.Failed(b.Now(), address)
+		h.Table.Failed(h.Now(), address)
 		return
 	}
-	b.take(reply)
+	h.handleReply(reply)
 	if len(reply.Unknown) == 0 {
 		return
 	}
-	request = b.NewRequest(b.Table.Full(DecodeMemberHashes(reply.Unknown)))
+	request = h.NewRequest(h.Table.Full(DecodeMemberHashes(reply.Unknown)))
 	// Without an answer the next round asks again.
-	if reply, err = ask(ctx, b.Client, address, heartbeatSilence, send); err == nil {
-		b.take(reply)
+	if reply, err = callWithRetry(ctx, h.Client, address, firstHeartbeatTimeout, send); err == nil {
+		h.handleReply(reply)
 	}
 }
 
-func (b *Heartbeats) take(reply *HeartbeatReply) {
-	b.Table.Merge(b.Now(), reply.Sender, host.News{Members: DecodeMembers(reply.Members), Pulses: DecodeDigests(reply.Pulses)})
-	if b.OnReply != nil {
-		b.OnReply(reply)
+func (h *Heartbeats) handleReply(reply *HeartbeatReply) {
+	h.Table.Merge(h.Now(), reply.Sender, host.News{Members: DecodeMembers(reply.Members), Pulses: DecodeDigests(reply.Pulses)})
+	if h.OnReply != nil {
+		h.OnReply(reply)
 	}
 }
 
 // HandleHeartbeat takes in a peer's heartbeat and returns what that peer does not know.
 func HandleHeartbeat(table *host.Table, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
-	answer := table.Answer(now, r.Sender, host.News{Members: DecodeMembers(r.Members), Pulses: DecodeDigests(r.Pulses)})
+	gossip := table.Answer(now, r.Sender, host.News{Members: DecodeMembers(r.Members), Pulses: DecodeDigests(r.Pulses)})
 	return &HeartbeatReply{
-		Sender: table.Self().Name, Members: EncodeMembers(answer.Members), Pulses: EncodeDigests(answer.Pulses), Unknown: EncodeMemberHashes(answer.Unknown),
+		Sender: table.Self().Name, Members: EncodeMembers(gossip.Members), Pulses: EncodeDigests(gossip.Pulses), Unknown: EncodeMemberHashes(gossip.Unknown),
 	}
 }
 
@@ -98,6 +98,6 @@
 }
 
 // NewHeartbeatRequest makes the message of a heartbeat.
-func NewHeartbeatRequest(sender string, news host.News) *HeartbeatRequest {
-	return &HeartbeatRequest{Sender: sender, Members: EncodeMembers(news.Members), Pulses: EncodeDigests(news.Pulses)}
+func NewHeartbeatRequest(sender string, gossip host.News) *HeartbeatRequest {
+	return &HeartbeatRequest{Sender: sender, Members: EncodeMembers(gossip.Members), Pulses: EncodeDigests(gossip.Pulses)}
 }
--- a/internal/inner/members.go
+++ b/internal/inner/members.go
@@ -8,7 +8,7 @@
 	for _, m := range members {
 		list = append(list, &Member{
 			Name: m.Name, Listen: m.Listen, Inner: m.Inner, Domain: m.Domain, Region: m.Region, Incarnation: m.Incarnation,
-			Beat: m.Beat, Leaving: m.Leaving, Note: int64(m.Note), Ready: m.Ready, Wants: toWants(m.Wants), StoreLost: m.StoreLost,
+			Beat: m.Beat, Leaving: m.Leaving, Note: int64(m.Note), Ready: m.Ready, Wants: encodeWants(m.Wants), StoreLost: m.StoreLost,
 		})
 	}
 	return list
@@ -20,13 +20,13 @@
 	for _, m := range members {
 		list = append(list, host.Member{
 			Name: m.Name, Listen: m.Listen, Inner: m.Inner, Domain: m.Domain, Region: m.Region, Incarnation: m.Incarnation,
-			Beat: m.Beat, Leaving: m.Leaving, Note: int(m.Note), Ready: m.Ready, Wants: fromWants(m.Wants), StoreLost: m.StoreLost,
+			Beat: m.Beat, Leaving: m.Leaving, Note: int(m.Note), Ready: m.Ready, Wants: decodeWants(m.Wants), StoreLost: m.StoreLost,
 		})
 	}
 	return list
 }
 
-func toWants(wants []host.Want) []*Want {
+func encodeWants(wants []host.Want) []*Want {
 	var list []*Want
 	for _, w := range wants {
 		list = append(list, &Want{Service: w.Service, Homes: uint32(w.Homes)})
@@ -34,7 +34,7 @@
 	return list
 }
 
-func fromWants(wants []*Want) []host.Want {
+func decodeWants(wants []*Want) []host.Want {
 	var list []host.Want
 	for _, w := range wants {
 		list = append(list, host.Want{Service: w.Service, Homes: int(w.Homes)})
@@ -43,10 +43,10 @@
 }
 
 // EncodeDigests encodes pulses.
-func EncodeDigests(pulses []host.Pulse) []*Pulse {
-	list := make([]*Pulse, 0, len(pulses))
-	for _, p := range pulses {
-		list = append(list, &Pulse{Id: uint32(p.ID), Beat: p.Beat})
+func EncodeDigests(digests []host.Pulse) []*Pulse {
+	list := make([]*Pulse, 0, len(digests))
+	for _, d := range digests {
+		list = append(list, &Pulse{Id: uint32(d.ID), Beat: d.Beat})
 	}
 	return list
 }
@@ -61,19 +61,19 @@
 }
 
 // EncodeMemberHashes encodes the pulses that were not understood.
-func EncodeMemberHashes(ids []host.ID) []uint32 {
-	list := make([]uint32, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, uint32(id))
+func EncodeMemberHashes(hashes []host.ID) []uint32 {
+	list := make([]uint32, 0, len(hashes))
+	for _, hash := range hashes {
+		list = append(list, uint32(hash))
 	}
 	return list
 }
 
 // DecodeMemberHashes decodes the pulses that were not understood.
-func DecodeMemberHashes(ids []uint32) []host.ID {
-	list := make([]host.ID, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, host.ID(id))
+func DecodeMemberHashes(hashes []uint32) []host.ID {
+	list := make([]host.ID, 0, len(hashes))
+	for _, hash := range hashes {
+		list = append(list, host.ID(hash))
 	}
 	return list
 }
--- a/internal/inner/tls_test.go
+++ b/internal/inner/tls_test.go
@@ -54,20 +54,20 @@
 
 // sign writes a certificate and its key and returns their paths.
 func (a *authority) sign(name string) (certificate, key string) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	a.is.NoErr(err)
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &private.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &privateKey.PublicKey, a.key)
 	a.is.NoErr(err)
-	text, err := x509.MarshalECPrivateKey(private)
+	keyDER, err := x509.MarshalECPrivateKey(privateKey)
 	a.is.NoErr(err)
-	return a.write(name+".pem", "CERTIFICATE", der), a.write(name+"-key.pem", "EC PRIVATE KEY", text)
+	return a.write(name+".pem", "CERTIFICATE", der), a.write(name+"-key.pem", "EC PRIVATE KEY", keyDER)
 }
 
-// load returns the mutual TLS configuration of a host that looks at its files at every handshake.
-func load(certificate, key, authority string) (*tls.Config, error) {
+// loadPeerTLS returns the mutual TLS configuration of a host that looks at its files at every handshake.
+func loadPeerTLS(certificate, key, authority string) (*tls.Config, error) {
 	files, err := certificates.Load(certificates.Config{Certificate: certificate, Key: key, Authority: authority, CheckEvery: time.Nanosecond})
 	if err != nil {
 		return nil, err
@@ -75,26 +75,26 @@
 	return files.Peers(), nil
 }
 
-type echo struct {
+type countsServer struct {
 	inner.DRPCPeerUnimplementedServer
 }
 
-func (*echo) Counts(context.Context, *inner.CountsRequest) (*inner.CountsReply, error) {
+func (*countsServer) Counts(context.Context, *inner.CountsRequest) (*inner.CountsReply, error) {
 	return &inner.CountsReply{}, nil
 }
 
-// TestStrangersAreRefused calls a host with a certificate of its authority, of another, and without one.
-func TestStrangersAreRefused(t *testing.T) {
+// TestPeersWithoutTrustedCertificateAreRejected calls a host with a certificate of its authority, of another, and without one.
+func TestPeersWithoutTrustedCertificateAreRejected(t *testing.T) {
 	is := is.New(t)
-	ours, theirs := newAuthority(is, t.TempDir()), newAuthority(is, t.TempDir())
-	ca := filepath.Join(ours.dir, "authority.pem")
-	certificate, key := ours.sign("host")
-	server, err := load(certificate, key, ca)
+	trusted, untrusted := newAuthority(is, t.TempDir()), newAuthority(is, t.TempDir())
+	authorityFile := filepath.Join(trusted.dir, "authority.pem")
+	certificate, key := trusted.sign("host")
+	server, err := loadPeerTLS(certificate, key, authorityFile)
 	is.NoErr(err)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
-	done, err := inner.Serve(ctx, inner.ServerConfig{Listener: listener, Handler: &echo{}, TLS: server})
+	done, err := inner.Serve(ctx, inner.ServerConfig{Listener: listener, Handler: &countsServer{}, TLS: server})
 	is.NoErr(err)
 	defer func() { cancel(); <-done }()
 
@@ -106,29 +106,29 @@
 		_, err := client.Peer(ctx, listener.Addr().String()).Counts(ctx, &inner.CountsRequest{})
 		return err
 	}
-	certificate, key = ours.sign("peer")
-	peer, err := load(certificate, key, ca)
+	certificate, key = trusted.sign("peer")
+	peer, err := loadPeerTLS(certificate, key, authorityFile)
 	is.NoErr(err)
 	is.NoErr(call(inner.ClientConfig{TLS: peer}))
 	// The keys are replaced while both run; half a replacement leaves the old ones in use.
-	is.NoErr(os.WriteFile(filepath.Join(ours.dir, "peer.pem"), []byte("half"), 0o600))
+	is.NoErr(os.WriteFile(filepath.Join(trusted.dir, "peer.pem"), []byte("half"), 0o600))
 	is.NoErr(call(inner.ClientConfig{TLS: peer}))
-	ours.sign("peer")
+	trusted.sign("peer")
 	is.NoErr(call(inner.ClientConfig{TLS: peer}))
-	certificate, key = theirs.sign("stranger")
-	stranger, err := load(certificate, key, ca)
+	certificate, key = untrusted.sign("stranger")
+	untrustedPeer, err := loadPeerTLS(certificate, key, authorityFile)
 	is.NoErr(err)
-	is.True(call(inner.ClientConfig{TLS: stranger}) != nil) // the server refuses it
-	certificate, key = ours.sign("wary")
-	wary, err := load(certificate, key, filepath.Join(theirs.dir, "authority.pem"))
+	is.True(call(inner.ClientConfig{TLS: untrustedPeer}) != nil) // the server refuses it
+	certificate, key = trusted.sign("wary")
+	distrustfulPeer, err := loadPeerTLS(certificate, key, filepath.Join(untrusted.dir, "authority.pem"))
 	is.NoErr(err)
-	is.True(call(inner.ClientConfig{TLS: wary}) != nil) // the client refuses the server
-	is.True(call(inner.ClientConfig{}) != nil)          // plain TCP
+	is.True(call(inner.ClientConfig{TLS: distrustfulPeer}) != nil) // the client refuses the server
+	is.True(call(inner.ClientConfig{}) != nil)                     // plain TCP
 	// A new authority for the server: who was known is a stranger now.
-	text, err := os.ReadFile(filepath.Join(theirs.dir, "authority.pem"))
+	untrustedPEM, err := os.ReadFile(filepath.Join(untrusted.dir, "authority.pem"))
 	is.NoErr(err)
-	is.NoErr(os.WriteFile(ca, text, 0o600))
+	is.NoErr(os.WriteFile(authorityFile, untrustedPEM, 0o600))
 	is.True(call(inner.ClientConfig{TLS: peer}) != nil)
-	_, err = load(filepath.Join(ours.dir, "none.pem"), key, ca)
+	_, err = loadPeerTLS(filepath.Join(trusted.dir, "none.pem"), key, authorityFile)
 	is.True(errorx.IsOfType(err, certificates.ErrFile))
 }
--- a/internal/inner/verdict.go
+++ b/internal/inner/verdict.go
@@ -10,9 +10,9 @@
 func EncodeVerdict(number uint64, v placement.Verdict) *PlaceVerdict {
 	switch v := v.(type) {
 	case placement.Placed:
-		return toPlaced(number, VerdictKind_Placed, v)
+		return encodePlaced(number, VerdictKind_Placed, v)
 	case placement.Hedge:
-		return toPlaced(number, VerdictKind_Hedge, placement.Placed(v))
+		return encodePlaced(number, VerdictKind_Hedge, placement.Placed(v))
 	case placement.Refused:
 		return &PlaceVerdict{
 			Number: number, Kind: VerdictKind_Refused, Reason: string(v.Reason), RetryAfterMicroseconds: v.RetryAfter.Microseconds(),
@@ -22,7 +22,7 @@
 	return &PlaceVerdict{Number: number, Kind: VerdictKind_Queued}
 }
 
-func toPlaced(number uint64, kind VerdictKind, p placement.Placed) *PlaceVerdict {
+func encodePlaced(number uint64, kind VerdictKind, p placement.Placed) *PlaceVerdict {
 	return &PlaceVerdict{
 		Number: number, Kind: kind, Target: p.Target, Address: p.Address,
 		ExpectedMicroseconds: p.Expected.Microseconds(), KnowledgeAgeMicroseconds: p.KnowledgeAge.Microseconds(),
@@ -33,9 +33,9 @@
 func DecodeVerdict(wire *PlaceVerdict) placement.Verdict {
 	switch wire.Kind {
 	case VerdictKind_Placed:
-		return fromPlaced(wire)
+		return decodePlaced(wire)
 	case VerdictKind_Hedge:
-		return placement.Hedge(fromPlaced(wire))
+		return placement.Hedge(decodePlaced(wire))
 	case VerdictKind_Queued:
 		return placement.Queued{}
 	case VerdictKind_Refused:
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func fromPlaced(wire *PlaceVerdict) placement.Placed {
+func decodePlaced(wire *PlaceVerdict) placement.Placed {
 	return placement.Placed{
 		Target: wire.Target, Address: wire.Address,
 		Expected: microseconds(wire.ExpectedMicroseconds), KnowledgeAge: microseconds(wire.KnowledgeAgeMicroseconds),
@@ -73,9 +73,9 @@
 }
 
 // EncodeRunEnd encodes the end of a run.
-func EncodeRunEnd(d placement.Done) *RunEnd {
-	wire := &RunEnd{Target: d.Target, Outcome: uint32(d.Outcome), TookMicroseconds: d.Took.Microseconds(), Bytes: uint32(d.Bytes)}
-	if l := d.Load; l != nil {
+func EncodeRunEnd(end placement.Done) *RunEnd {
+	wire := &RunEnd{Target: end.Target, Outcome: uint32(end.Outcome), TookMicroseconds: end.Took.Microseconds(), Bytes: uint32(end.Bytes)}
+	if l := end.Load; l != nil {
 		wire.Load = &TargetLoad{Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots), Pace: l.Pace}
 	}
 	return wire
@@ -83,11 +83,11 @@
 
 // DecodeRunEnd decodes the end of a run.
 func DecodeRunEnd(id placement.ID, wire *RunEnd) placement.Done {
-	d := placement.Done{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Took: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
+	end := placement.Done{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Took: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
 	if l := wire.Load; l != nil {
-		d.Load = &placement.Load{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
+		end.Load = &placement.Load{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
 	}
-	return d
+	return end
 }
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -11,19 +11,19 @@
 	"github.com/joomcode/errorx"
 )
 
-// snapshotEvery is the number of notes between two snapshots in the store.
-const snapshotEvery = 16
+// snapshotInterval is the number of notes between two snapshots in the store.
+const snapshotInterval = 16
 
-// rangeLimit is the most records read from the store in one call.
-const rangeLimit = 128
+// rangePageSize is the most records read from the store in one call.
+const rangePageSize = 128
 
 // defaultRetryPause is the time between two attempts to settle whether a note was accepted.
 const defaultRetryPause = 200 * time.Millisecond
 
 // Archive is the chain of accepted notes as the store holds it.
 type Archive struct {
-	store platform.Store
-	pause time.Duration
+	store      platform.Store
+	retryPause time.Duration
 }
 
 // ArchiveConfig names the store.
@@ -52,20 +52,20 @@
 	if err := decode(last.Value, &newest); err != nil {
 		return err
 	}
-	if newest.Number-chain.Number() > snapshotEvery {
-		if err := a.adoptSnapshot(ctx, chain); err != nil {
+	if newest.Number-chain.Number() > snapshotInterval {
+		if err := a.applySnapshot(ctx, chain); err != nil {
 			return err
 		}
 	}
 	for chain.Number() < newest.Number {
-		if err := a.adoptPage(ctx, chain); err != nil {
+		if err := a.applyPage(ctx, chain); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *Archive) adoptSnapshot(ctx context.Context, chain *Chain) error {
+func (a *Archive) applySnapshot(ctx context.Context, chain *Chain) error {
 	entry, found, err := a.store.Get(ctx, SnapshotKey)
 	if err != nil || !found {
 		return err
@@ -78,8 +78,8 @@
 	return err
 }
 
-func (a *Archive) adoptPage(ctx context.Context, chain *Chain) error {
-	entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangeLimit)
+func (a *Archive) applyPage(ctx context.Context, chain *Chain) error {
+	entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangePageSize)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	}
 	head, headHash, configuration := chain.Head()
 	if n.Follows != head.Number {
-		return Record{}, conflict(n, head)
+		return Record{}, conflictError(n, head)
 	}
 	next, err := configuration.Apply(n)
 	if err != nil {
@@ -124,13 +124,13 @@
 	if err := a.create(ctx, r); err != nil {
 		return Record{}, err
 	}
-	if r.Number%snapshotEvery == 0 {
+	if r.Number%snapshotInterval == 0 {
 		a.writeSnapshot(ctx, Snapshot{r, next})
 	}
 	return r, nil
 }
 
-func conflict(n Note, winner Record) error {
+func conflictError(n Note, winner Record) error {
 	return ErrConflict.New("the note follows %d but note %d by %s (%q) is the newest; read it, set Follows = %d and publish again",
 		n.Follows, winner.Number, winner.Note.Operator, winner.Note.Reason, winner.Number)
 }
@@ -145,17 +145,17 @@
 	for {
 		result, err := a.store.Create(ctx, Key(r.Number), value, 0)
 		if err == nil {
-			return settle(r, value, result)
+			return checkCreated(r, value, result)
 		}
 		select {
-		case <-time.After(a.pause):
+		case <-time.After(a.retryPause):
 		case <-ctx.Done():
 			return ErrOutcomeUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again", r.Number, err, r.Number, r.Nonce)
 		}
 	}
 }
 
-func settle(r Record, value []byte, result platform.CreateResult) error {
+func checkCreated(r Record, value []byte, result platform.CreateResult) error {
 	if result.Won || bytes.Equal(result.Existing.Value, value) {
 		return nil
 	}
@@ -163,7 +163,7 @@
 	if err := decode(result.Existing.Value, &winner); err != nil {
 		return err
 	}
-	return conflict(r.Note, winner)
+	return conflictError(r.Note, winner)
 }
 
 // writeSnapshot replaces the stored snapshot with a newer one; a failure only makes starts slower.
@@ -189,7 +189,7 @@
 	chain := &Chain{}
 	hashes := map[int]string{}
 	for {
-		entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangeLimit)
+		entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangePageSize)
 		head, _, _ := chain.Head()
 		if err != nil || len(entries) == 0 {
 			return head, hashes, err
--- a/internal/note/chain.go
+++ b/internal/note/chain.go
@@ -46,7 +46,7 @@
 	if next.Hash() != r.Configuration {
 		return false, ErrChain.New("note %d names another configuration than it leads to; check the store for tampering", r.Number)
 	}
-	c.set(r, next)
+	c.setHead(r, next)
 	c.recent = append(c.recent, r)
 	if len(c.recent) > recentRecords {
 		c.recent = append([]Record(nil), c.recent[len(c.recent)-recentRecords:]...)
@@ -64,12 +64,12 @@
 	if s.Record.Number <= c.head.Number {
 		return false, nil
 	}
-	c.set(s.Record, s.Configuration)
+	c.setHead(s.Record, s.Configuration)
 	c.recent = []Record{s.Record}
 	return true, nil
 }
 
-func (c *Chain) set(r Record, configuration Configuration) {
+func (c *Chain) setHead(r Record, configuration Configuration) {
 	c.head, c.headHash, c.configuration = r, r.Hash(), configuration
 }
 
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -25,11 +25,11 @@
 type fakeStore struct {
 	platform.Store
 	keys map[string][]byte
-	// lose is how many writes take effect without a confirmation, and drop how many have no effect.
-	lose, drop int
+	// unconfirmedWrites is how many writes take effect without a confirmation, and drop how many have no effect.
+	unconfirmedWrites, droppedWrites int
 }
 
-func (s *fakeStore) sorted(prefix, from string) []platform.Entry {
+func (s *fakeStore) sortedEntries(prefix, from string) []platform.Entry {
 	var list []platform.Entry
 	for key, value := range s.keys {
 		if strings.HasPrefix(key, prefix) && key >= from {
@@ -46,12 +46,12 @@
 }
 
 func (s *fakeStore) Range(_ context.Context, prefix, from string, limit int) ([]platform.Entry, error) {
-	list := s.sorted(prefix, from)
+	list := s.sortedEntries(prefix, from)
 	return list[:min(limit, len(list))], nil
 }
 
 func (s *fakeStore) Last(_ context.Context, prefix string) (platform.Entry, bool, error) {
-	list := s.sorted(prefix, "")
+	list := s.sortedEntries(prefix, "")
 	if len(list) == 0 {
 		return platform.Entry{}, false, nil
 	}
@@ -59,16 +59,16 @@
 }
 
 func (s *fakeStore) Create(_ context.Context, key string, value []byte, _ platform.LeaseID) (platform.CreateResult, error) {
-	if s.drop > 0 {
-		s.drop--
+	if s.droppedWrites > 0 {
+		s.droppedWrites--
 		return platform.CreateResult{}, platform.ErrUnavailable.New("dropped")
 	}
 	existing, found := s.keys[key]
 	if !found {
 		s.keys[key] = value
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.unconfirmedWrites > 0 {
+		s.unconfirmedWrites--
 		return platform.CreateResult{}, platform.ErrUnavailable.New("lost")
 	}
 	return platform.CreateResult{Won: !found, Existing: platform.Entry{Key: key, Value: existing}}, nil
@@ -79,7 +79,7 @@
 	return true, nil
 }
 
-func addition(follows int, name string) Note {
+func noteAddingService(follows int, name string) Note {
 	return Note{Follows: follows, Operator: "o", Reason: "r", Services: []Service{{Name: name, QueueLimit: 1, Homes: 1}}}
 }
 
@@ -90,16 +90,16 @@
 		archive := NewArchive(ArchiveConfig{Store: store, RetryPause: time.Nanosecond})
 		hosts := []*Chain{{}, {}, {}}
 		accepted := map[int]string{}
-		floor := make([]int, len(hosts))
+		highest := make([]int, len(hosts))
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
-				store.lose = rapid.IntRange(0, 1).Draw(t, "lose")
+				store.unconfirmedWrites = rapid.IntRange(0, 1).Draw(t, "lose")
 				head := len(accepted)
 				follows := max(0, head-rapid.IntRange(0, 1).Draw(t, "behind"))
 				nonce := fmt.Sprint(rapid.Uint64().Draw(t, "nonce"))
 				ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 				defer cancel()
-				r, err := archive.Publish(ctx, addition(follows, fmt.Sprintf("s%d", head)), nonce, time.Unix(0, 0))
+				r, err := archive.Publish(ctx, noteAddingService(follows, fmt.Sprintf("s%d", head)), nonce, time.Unix(0, 0))
 				switch {
 				case err == nil && follows != head:
 					t.Fatalf("a note that follows %d was accepted after %d", follows, head)
@@ -124,18 +124,18 @@
 			},
 			"forge": func(t *rapid.T) {
 				head, _, _ := hosts[0].Head()
-				forged := Record{Number: head.Number + 1, Previous: "forged", Note: addition(head.Number, "forged")}
-				if adopted, _ := hosts[0].Apply(forged); adopted {
+				forged := Record{Number: head.Number + 1, Previous: "forged", Note: noteAddingService(head.Number, "forged")}
+				if applied, _ := hosts[0].Apply(forged); applied {
 					t.Fatal("a forged record was adopted")
 				}
 			},
 			"": func(t *rapid.T) {
 				for i, h := range hosts {
 					head, hash, configuration := h.Head()
-					if head.Number < floor[i] {
-						t.Fatalf("host %d fell from note %d to %d", i, floor[i], head.Number)
+					if head.Number < highest[i] {
+						t.Fatalf("host %d fell from note %d to %d", i, highest[i], head.Number)
 					}
-					floor[i] = head.Number
+					highest[i] = head.Number
 					if head.Number > 0 && (accepted[head.Number] != hash || len(configuration.Services) != head.Number) {
 						t.Fatalf("host %d has another note %d than was accepted", i, head.Number)
 					}
@@ -153,19 +153,19 @@
 // TestUnconfirmedPublishIsUnknown checks that a publish without any confirmation is neither accepted nor refused.
 func TestUnconfirmedPublishIsUnknown(t *testing.T) {
 	is := is.New(t)
-	store := &fakeStore{keys: map[string][]byte{}, drop: 1 << 30}
+	store := &fakeStore{keys: map[string][]byte{}, droppedWrites: 1 << 30}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err := NewArchive(ArchiveConfig{Store: store}).Publish(ctx, addition(0, "s"), "n", time.Unix(0, 0))
+	_, err := NewArchive(ArchiveConfig{Store: store}).Publish(ctx, noteAddingService(0, "s"), "n", time.Unix(0, 0))
 	is.True(errorx.IsOfType(err, ErrOutcomeUnknown))
 }
 
-func TestWalkFindsTampering(t *testing.T) {
+func TestVerifyFindsTampering(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{keys: map[string][]byte{}}
 	archive := NewArchive(ArchiveConfig{Store: store})
 	for i := range 5 {
-		_, err := archive.Publish(context.Background(), addition(i, fmt.Sprint("s", i)), "n", time.Unix(0, 0))
+		_, err := archive.Publish(context.Background(), noteAddingService(i, fmt.Sprint("s", i)), "n", time.Unix(0, 0))
 		is.NoErr(err)
 	}
 	head, hashes, err := archive.Verify(context.Background())
@@ -178,7 +178,7 @@
 	is.Equal(head.Number, 3) // the record after the changed one does not follow it
 }
 
-func TestParseNamesLineAndRemedy(t *testing.T) {
+func TestParseErrorsNameLineAndRemedy(t *testing.T) {
 	head := "[Note]\nFollows = 0\nOperator = o\nReason = r\n"
 	cases := []struct{ name, text, want string }{
 		{"unknown key", head + "[Service s]\nQueue = 3\n", "n.ini:6: section [Service s] key Queue is unknown; allowed keys: QueueLimit"},
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestFoldRefusesWhatDoesNotFit(t *testing.T) {
+func TestApplyRejectsInvalidNotes(t *testing.T) {
 	base, err := Configuration{}.Apply(Note{
 		Services: []Service{{Name: "s"}}, Targets: []Target{{Name: "t", Service: "s", Address: "127.0.0.1:1"}},
 		Rules: []Rule{{Name: "r", Service: "s", Path: "/"}},
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestMatchTakesTheMostSpecificRule(t *testing.T) {
+func TestMatchReturnsMostSpecificRule(t *testing.T) {
 	is := is.New(t)
 	c := Configuration{Rules: []Rule{
 		{Name: "all", Path: "/"}, {Name: "long", Path: "/a/b"}, {Name: "host", Host: "h", Path: "/"},
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -28,19 +28,19 @@
 func (c Configuration) Apply(n Note) (Configuration, error) {
 	next := Configuration{Number: c.Number + 1}
 	var err error
-	if next.Services, err = fold(c.Services, n.Services, n.Withdraw.Services, "Service", serviceName); err != nil {
+	if next.Services, err = mergeEntries(c.Services, n.Services, n.Withdraw.Services, "Service", serviceName); err != nil {
 		return c, err
 	}
-	if next.Targets, err = fold(c.Targets, n.Targets, n.Withdraw.Targets, "Target", targetName); err != nil {
+	if next.Targets, err = mergeEntries(c.Targets, n.Targets, n.Withdraw.Targets, "Target", targetName); err != nil {
 		return c, err
 	}
-	if next.Rules, err = fold(c.Rules, n.Rules, n.Withdraw.Rules, "Rule", ruleName); err != nil {
+	if next.Rules, err = mergeEntries(c.Rules, n.Rules, n.Withdraw.Rules, "Rule", ruleName); err != nil {
 		return c, err
 	}
 	if isEmpty(n) {
 		return c, ErrInvalid.New("the note changes nothing; add, change or withdraw something")
 	}
-	if err := next.check(); err != nil {
+	if err := next.validate(); err != nil {
 		return c, err
 	}
 	return next, nil
@@ -55,13 +55,13 @@
 	return len(n.Services)+len(n.Targets)+len(n.Rules)+len(w.Services)+len(w.Targets)+len(w.Rules) == 0
 }
 
-// fold removes the withdrawn entries and puts each added one in place of its namesake.
-func fold[T any](old, added []T, withdrawn []string, kind string, name func(T) string) ([]T, error) {
+// mergeEntries removes the withdrawn entries and puts each added one in place of its namesake.
+func mergeEntries[T any](old, added []T, withdrawn []string, kind string, name func(T) string) ([]T, error) {
 	next := slices.Clone(old)
-	for _, gone := range withdrawn {
-		i := slices.IndexFunc(next, func(t T) bool { return name(t) == gone })
+	for _, withdrawnName := range withdrawn {
+		i := slices.IndexFunc(next, func(t T) bool { return name(t) == withdrawnName })
 		if i < 0 {
-			return nil, ErrInvalid.New("[Withdraw] names %s %q, which is not in force; remove it from the list", kind, gone)
+			return nil, ErrInvalid.New("[Withdraw] names %s %q, which is not in force; remove it from the list", kind, withdrawnName)
 		}
 		next = slices.Delete(next, i, i+1)
 	}
@@ -80,7 +80,7 @@
 	return next, nil
 }
 
-func (c Configuration) check() error {
+func (c Configuration) validate() error {
 	addresses := map[string]string{}
 	for _, t := range c.Targets {
 		if _, found := c.Service(t.Service); !found {
--- a/internal/note/diff.go
+++ b/internal/note/diff.go
@@ -9,29 +9,29 @@
 // Diff returns the release note that leads from one configuration to another.
 func Diff(old, next Configuration) Note {
 	n := Note{Follows: old.Number, Operator: "platform", Reason: fmt.Sprintf("configuration %d of the platform", next.Number)}
-	n.Services, n.Withdraw.Services = difference(old.Services, next.Services, serviceName)
-	n.Targets, n.Withdraw.Targets = difference(old.Targets, next.Targets, targetName)
-	n.Rules, n.Withdraw.Rules = difference(old.Rules, next.Rules, ruleName)
+	n.Services, n.Withdraw.Services = diffEntries(old.Services, next.Services, serviceName)
+	n.Targets, n.Withdraw.Targets = diffEntries(old.Targets, next.Targets, targetName)
+	n.Rules, n.Withdraw.Rules = diffEntries(old.Rules, next.Rules, ruleName)
 	return n
 }
 
-// difference returns the entries that are new or changed, and the names of those that are gone.
-func difference[T any](old, next []T, name func(T) string) (changed []T, gone []string) {
-	known := map[string]string{}
+// diffEntries returns the entries that are new or changed, and the names of those that are gone.
+func diffEntries[T any](old, next []T, name func(T) string) (changed []T, removed []string) {
+	oldHashes := map[string]string{}
 	for _, t := range old {
-		known[name(t)] = hash(t)
+		oldHashes[name(t)] = hash(t)
 	}
 	for _, t := range next {
-		if known[name(t)] != hash(t) {
+		if oldHashes[name(t)] != hash(t) {
 			changed = append(changed, t)
 		}
-		delete(known, name(t))
+		delete(oldHashes, name(t))
 	}
-	for missing := range known {
-		gone = append(gone, missing)
+	for removedName := range oldHashes {
+		removed = append(removed, removedName)
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
 // Summary names what a note adds or changes and what it withdraws, in one line.
@@ -42,19 +42,19 @@
 			parts = append(parts, fmt.Sprintf("%s %s %s", verb, kind, strings.Join(names, " ")))
 		}
 	}
-	add("set", "services", names(n.Services, serviceName))
-	add("set", "targets", names(n.Targets, targetName))
-	add("set", "rules", names(n.Rules, ruleName))
+	add("set", "services", entryNames(n.Services, serviceName))
+	add("set", "targets", entryNames(n.Targets, targetName))
+	add("set", "rules", entryNames(n.Rules, ruleName))
 	add("withdrew", "services", n.Withdraw.Services)
 	add("withdrew", "targets", n.Withdraw.Targets)
 	add("withdrew", "rules", n.Withdraw.Rules)
 	return strings.Join(parts, "; ")
 }
 
-func names[T any](list []T, name func(T) string) []string {
-	var out []string
+func entryNames[T any](list []T, name func(T) string) []string {
+	var result []string
 	for _, t := range list {
-		out = append(out, name(t))
+		result = append(result, name(t))
 	}
-	return out
+	return result
 }
--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -10,14 +10,14 @@
 	"github.com/rs/zerolog"
 )
 
-// writeBacklog is how many records may wait for the log's writer.
-const writeBacklog = 1024
+// writeQueueCapacity is how many records may wait for the log's writer.
+const writeQueueCapacity = 1024
 
 // Log holds a host's newest records in a bounded ring and writes each to the structured log.
 type Log struct {
 	config   LogConfig
 	recent   *ring.Recent[Record]
-	write    *ring.Ring[Record]
+	pending  *ring.Ring[Record]
 	mu       sync.Mutex
 	sequence uint64
 }
@@ -32,35 +32,35 @@
 
 // NewLog returns an empty book and the function that stops its writer after what it holds is written.
 func NewLog(c LogConfig) (*Log, func()) {
-	b := &Log{
-		config: c,
-		recent: ring.NewRecent[Record](ring.Config{Capacity: c.Capacity}),
-		write:  ring.New[Record](ring.Config{Capacity: writeBacklog}),
+	l := &Log{
+		config:  c,
+		recent:  ring.NewRecent[Record](ring.Config{Capacity: c.Capacity}),
+		pending: ring.New[Record](ring.Config{Capacity: writeQueueCapacity}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go b.writeAll(ctx, done)
-	return b, func() {
+	go l.writeLoop(ctx, done)
+	return l, func() {
 		cancel()
 		<-done
 	}
 }
 
 // Add stamps and stores a record.
-func (b *Log) Add(r Record) {
-	b.mu.Lock()
-	b.sequence++
-	r.Time, r.Host, r.Incarnation, r.Sequence = time.Now().UTC(), b.config.Host, b.config.Incarnation, b.sequence
-	b.recent.Add(r)
-	b.mu.Unlock()
-	b.write.Push(r)
+func (l *Log) Add(r Record) {
+	l.mu.Lock()
+	l.sequence++
+	r.Time, r.Host, r.Incarnation, r.Sequence = time.Now().UTC(), l.config.Host, l.config.Incarnation, l.sequence
+	l.recent.Add(r)
+	l.mu.Unlock()
+	l.pending.Push(r)
 }
 
 // Since returns the records not older than since that concern a target, oldest first.
 // An empty target selects all; records without a target concern every target.
-func (b *Log) Since(target string, since time.Time) []Record {
+func (l *Log) Since(target string, since time.Time) []Record {
 	var records []Record
-	for _, r := range b.recent.Items() {
+	for _, r := range l.recent.Items() {
 		if !r.Time.Before(since) && (target == "" || r.Target == "" || r.Target == target) {
 			records = append(records, r)
 		}
@@ -69,35 +69,35 @@
 }
 
 // Unwritten returns how many records were kept but not logged, because the log could not keep up.
-func (b *Log) Unwritten() int64 { return b.write.Dropped() }
+func (l *Log) Unwritten() int64 { return l.pending.Dropped() }
 
-func (b *Log) writeAll(ctx context.Context, done chan<- struct{}) {
+func (l *Log) writeLoop(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for {
-		r, ok := b.write.Pop(ctx)
+		r, ok := l.pending.Pop(ctx)
 		if !ok {
-			b.drain()
+			l.drain()
 			return
 		}
-		b.log(r)
+		l.writeRecord(r)
 	}
 }
 
-func (b *Log) drain() {
-	ended, cancel := context.WithCancel(context.Background())
+func (l *Log) drain() {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range writeBacklog {
-		r, ok := b.write.Pop(ended)
+	for range writeQueueCapacity {
+		r, ok := l.pending.Pop(canceled)
 		if !ok {
 			return
 		}
-		b.log(r)
+		l.writeRecord(r)
 	}
 }
 
-// log writes one record in the event schema that every event shares.
-func (b *Log) log(r Record) {
-	b.config.Logger.Info().
+// writeRecord writes one record in the event schema that every event shares.
+func (l *Log) writeRecord(r Record) {
+	l.config.Logger.Info().
 		Time("At", r.Time).
 		Uint64("Sequence", r.Sequence).
 		Str("Kind", string(r.Kind)).
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -3,8 +3,8 @@
 import "briarcroft/internal/host"
 
 // FromMembershipEvent returns the record of one change of the membership.
-func FromMembershipEvent(e host.Event, number int) Record {
-	r := Record{Note: number, Evidence: Evidence{Peer: e.Member.Name, Detail: e.Member.Inner}}
+func FromMembershipEvent(e host.Event, noteNumber int) Record {
+	r := Record{Note: noteNumber, Evidence: Evidence{Peer: e.Member.Name, Detail: e.Member.Inner}}
 	switch e.Kind {
 	case host.Joined:
 		r.Kind, r.Cause = HostJoined, "Heartbeat"
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -8,7 +8,7 @@
 )
 
 // ServeHTTP answers with the records that concern the parameter Target since the time Since; both may be left out.
-func (b *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since := time.Time{}
 	if text := r.URL.Query().Get("Since"); text != "" {
 		var err error
@@ -17,5 +17,5 @@
 			return
 		}
 	}
-	page.Write(w, http.StatusOK, struct{ Records []Record }{b.Since(r.URL.Query().Get("Target"), since)})
+	page.Write(w, http.StatusOK, struct{ Records []Record }{l.Since(r.URL.Query().Get("Target"), since)})
 }
--- a/internal/record/timeline.go
+++ b/internal/record/timeline.go
@@ -32,8 +32,8 @@
 	To   time.Time
 }
 
-// line names one target on one incarnation of one host.
-type line struct {
+// timelineKey names one target on one incarnation of one host.
+type timelineKey struct {
 	host        string
 	incarnation uint64
 	target      string
@@ -42,8 +42,8 @@
 // Timeline returns the intervals of a target's states that reach into a stretch, by host and time.
 // Time before a host's first record of the target is left out: the host did not run, did not know the target,
 // or no longer holds the record.
-func Timeline(records []Record, target string, s TimeRange) []Interval {
-	open := map[line]Interval{}
+func Timeline(records []Record, target string, period TimeRange) []Interval {
+	current := map[timelineKey]Interval{}
 	var list []Interval
 	sorted := slices.Clone(records)
 	Sort(sorted)
@@ -51,35 +51,35 @@
 		if r.Target != target || r.Kind != TargetMoved && r.Kind != TargetForgotten {
 			continue
 		}
-		key := line{r.Host, r.Incarnation, r.Target}
-		if before, found := open[key]; found {
-			before.To = r.Time
-			list = append(list, before)
-			delete(open, key)
+		key := timelineKey{r.Host, r.Incarnation, r.Target}
+		if previous, found := current[key]; found {
+			previous.To = r.Time
+			list = append(list, previous)
+			delete(current, key)
 		}
 		if r.Kind == TargetMoved {
-			open[key] = Interval{
+			current[key] = Interval{
 				Host: r.Host, Incarnation: r.Incarnation, Service: r.Service, Target: r.Target, State: r.To,
 				Cause: r.Cause, Note: r.Note, From: r.Time, Evidence: r.Evidence,
 			}
 		}
 	}
-	for _, interval := range open {
-		interval.To = s.To
+	for _, interval := range current {
+		interval.To = period.To
 		list = append(list, interval)
 	}
-	return clip(list, s)
+	return clip(list, period)
 }
 
 // clip cuts intervals to a stretch, drops those outside, and sorts the rest.
-func clip(list []Interval, s TimeRange) []Interval {
-	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(s.To) || !i.To.After(s.From) })
+func clip(list []Interval, period TimeRange) []Interval {
+	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(period.To) || !i.To.After(period.From) })
 	for i := range list {
-		if list[i].From.Before(s.From) {
-			list[i].From = s.From
+		if list[i].From.Before(period.From) {
+			list[i].From = period.From
 		}
-		if list[i].To.After(s.To) {
-			list[i].To = s.To
+		if list[i].To.After(period.To) {
+			list[i].To = period.To
 		}
 	}
 	slices.SortFunc(list, func(a, b Interval) int {
@@ -100,19 +100,19 @@
 func EligibilityByHost(timeline []Interval) []Eligibility {
 	byHost := map[string]*Eligibility{}
 	for _, i := range timeline {
-		s := byHost[i.Host]
-		if s == nil {
-			s = &Eligibility{Host: i.Host}
-			byHost[i.Host] = s
+		e := byHost[i.Host]
+		if e == nil {
+			e = &Eligibility{Host: i.Host}
+			byHost[i.Host] = e
 		}
-		s.Covered += i.Duration()
+		e.Covered += i.Duration()
 		if i.Eligible() {
-			s.Eligible += i.Duration()
+			e.Eligible += i.Duration()
 		}
 	}
 	var list []Eligibility
-	for _, s := range byHost {
-		list = append(list, *s)
+	for _, e := range byHost {
+		list = append(list, *e)
 	}
 	slices.SortFunc(list, func(a, b Eligibility) int { return cmp.Compare(a.Host, b.Host) })
 	return list
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -155,14 +155,14 @@
 		{"Host", &s.Host}, {"Platform", &s.Platform}, {"Peers", &s.Peers}, {"Limits", &s.Limits},
 		{"Budget", &s.Budget}, {"TLS", &s.TLS}, {"Log", &s.Log}, {"Retries", &s.Retries},
 	}
-	known := map[string]bool{}
+	allowed := map[string]bool{}
 	var names []string
 	for _, section := range sections {
-		known[section.name] = true
+		allowed[section.name] = true
 		names = append(names, section.name)
 	}
 	for _, name := range d.Sections() {
-		if !known[name] {
+		if !allowed[name] {
 			return s, d.FieldError(name, "", "is unknown; allowed sections: "+strings.Join(names, ", "))
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,31 +7,31 @@
 	"github.com/matryer/is"
 )
 
-const good = "[Host]\nName = entry-1\nDomain = a\nListen = 127.0.0.1:8080\nInner = 127.0.0.1:9080\n[Platform]\nStore = http://127.0.0.1:2379\n"
+const minimalSettings = "[Host]\nName = entry-1\nDomain = a\nListen = 127.0.0.1:8080\nInner = 127.0.0.1:9080\n[Platform]\nStore = http://127.0.0.1:2379\n"
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("h.ini", []byte(good+"[Limits]\nAddressMaxAge = 3s\n"))
+	s, err := Parse("h.ini", []byte(minimalSettings+"[Limits]\nAddressMaxAge = 3s\n"))
 	is.NoErr(err)
 	is.Equal(s.Limits.AddressMaxAge.Seconds(), 3.0)
 	is.Equal(s.Limits.KeptEntries, Default().Limits.KeptEntries)
 }
 
-func TestParseNamesFileSectionKeyAndRemedy(t *testing.T) {
+func TestParseErrorsNameFileSectionKeyAndRemedy(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"unknown key", good + "[Limits]\nKept = 3\n", "h.ini:9: section [Limits] key Kept is unknown; allowed keys: HeaderBytes"},
-		{"unknown section", good + "[Limit]\nx = 1\n", "h.ini:8: section [Limit] is unknown; allowed sections: Host, Platform"},
-		{"bad duration", good + "[Limits]\nStopTimeout = 5\n", "key StopTimeout has value \"5\"; write a duration"},
-		{"missing address", strings.Replace(good, "Listen = 127.0.0.1:8080\n", "", 1), "h.ini:1: section [Host] key Listen is missing; add it"},
-		{"host name for an address", strings.Replace(good, "127.0.0.1:8080", "localhost:8080", 1), "write an IP number and port"},
-		{"bad seed", good + "[Peers]\nSeeds = 127.0.0.1:1, x\n", "key Seeds has value \"x\""},
-		{"bad store", strings.Replace(good, "http://127.0.0.1:2379", "127.0.0.1", 1), "must be a URL"},
-		{"dot in name", strings.Replace(good, "entry-1", "entry.1", 1), "may hold letters"},
-		{"half a certificate", good + "[TLS]\nCallerKey = k.pem\n", "together"},
-		{"too small", good + "[Limits]\nKeptEntries = 0\n", "is too small"},
-		{"share", good + "[Budget]\nCoreShare = 3\n", "between 0 and 1"},
-		{"bad announced address", strings.Replace(good, "[Platform]", "Announced = x\n[Platform]", 1), "key Announced has value \"x\""},
-		{"level", good + "[Log]\nLevel = loud\n", "allowed: debug, info, warn, error"},
+		{"unknown key", minimalSettings + "[Limits]\nKept = 3\n", "h.ini:9: section [Limits] key Kept is unknown; allowed keys: HeaderBytes"},
+		{"unknown section", minimalSettings + "[Limit]\nx = 1\n", "h.ini:8: section [Limit] is unknown; allowed sections: Host, Platform"},
+		{"bad duration", minimalSettings + "[Limits]\nStopTimeout = 5\n", "key StopTimeout has value \"5\"; write a duration"},
+		{"missing address", strings.Replace(minimalSettings, "Listen = 127.0.0.1:8080\n", "", 1), "h.ini:1: section [Host] key Listen is missing; add it"},
+		{"host name for an address", strings.Replace(minimalSettings, "127.0.0.1:8080", "localhost:8080", 1), "write an IP number and port"},
+		{"bad seed", minimalSettings + "[Peers]\nSeeds = 127.0.0.1:1, x\n", "key Seeds has value \"x\""},
+		{"bad store", strings.Replace(minimalSettings, "http://127.0.0.1:2379", "127.0.0.1", 1), "must be a URL"},
+		{"dot in name", strings.Replace(minimalSettings, "entry-1", "entry.1", 1), "may hold letters"},
+		{"half a certificate", minimalSettings + "[TLS]\nCallerKey = k.pem\n", "together"},
+		{"too small", minimalSettings + "[Limits]\nKeptEntries = 0\n", "is too small"},
+		{"share", minimalSettings + "[Budget]\nCoreShare = 3\n", "between 0 and 1"},
+		{"bad announced address", strings.Replace(minimalSettings, "[Platform]", "Announced = x\n[Platform]", 1), "key Announced has value \"x\""},
+		{"level", minimalSettings + "[Log]\nLevel = loud\n", "allowed: debug, info, warn, error"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -28,12 +28,12 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		follow(ctx, c, last)
+		watch(ctx, c, last)
 	}()
 	return done
 }
 
-func follow(ctx context.Context, c WatchConfig, last []byte) {
+func watch(ctx context.Context, c WatchConfig, last []byte) {
 	ticker := time.NewTicker(c.Interval)
 	defer ticker.Stop()
 	for {
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -12,35 +12,35 @@
 	"github.com/matryer/is"
 )
 
-const goodSettings = "[Host]\nName = h\nDomain = d\nListen = 127.0.0.1:1\nInner = 127.0.0.1:2\n[Platform]\nStore = http://127.0.0.1:3\n[Peers]\nSeeds = "
+const validSettings = "[Host]\nName = h\nDomain = d\nListen = 127.0.0.1:1\nInner = 127.0.0.1:2\n[Platform]\nStore = http://127.0.0.1:3\n[Peers]\nSeeds = "
 
-// TestFollow changes a settings file, with a signal and without, and spoils it in between.
-func TestFollow(t *testing.T) {
+// TestWatch changes a settings file, with a signal and without, and spoils it in between.
+func TestWatch(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.ini")
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		write := func(text string) { is.NoErr(os.WriteFile(file, []byte(text), 0o600)) }
-		write(goodSettings + "127.0.0.1:4\n")
+		write(validSettings + "127.0.0.1:4\n")
 		ctx, cancel := context.WithCancel(context.Background())
-		hup := make(chan os.Signal, 1)
+		reload := make(chan os.Signal, 1)
 		var seeds []string
-		refused := 0
+		rejected := 0
 		done := Watch(ctx, WatchConfig{
-			File: file, Interval: 2 * time.Second, Reload: hup,
-			OnChange: func(s Settings) { seeds = s.Peers.Seeds }, OnRejected: func(error) { refused++ },
+			File: file, Interval: 2 * time.Second, Reload: reload,
+			OnChange: func(s Settings) { seeds = s.Peers.Seeds }, OnRejected: func(error) { rejected++ },
 		})
-		write(goodSettings + "127.0.0.1:5\n")
-		hup <- syscall.SIGHUP
+		write(validSettings + "127.0.0.1:5\n")
+		reload <- syscall.SIGHUP
 		synctest.Wait()
 		is.Equal(seeds, []string{"127.0.0.1:5"})
 		write("[Host]\nName = ")
 		time.Sleep(3 * time.Second)
-		is.Equal(refused, 1)
+		is.Equal(rejected, 1)
 		is.Equal(seeds, []string{"127.0.0.1:5"})
-		write(goodSettings + "127.0.0.1:6\n")
+		write(validSettings + "127.0.0.1:6\n")
 		time.Sleep(3 * time.Second)
 		is.Equal(seeds, []string{"127.0.0.1:6"})
-		is.Equal(refused, 1)
+		is.Equal(rejected, 1)
 		cancel()
 		<-done
 	})
