--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -14,19 +14,20 @@
 
 var namespace = errorx.NewNamespace("inner").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrStreamTimeout reports that a peer sent no byte for too long; the call may be made again on a new connection.
+// ErrStreamTimeout reports that a peer sent nothing on a stream for StreamTimeout; the call may be retried on a new
+// connection.
 var ErrStreamTimeout = namespace.NewType("silent", errorx.Timeout())
 
-// ErrPeerFailed reports that a peer could not be reached or broke the connection.
+// ErrPeerFailed reports that a peer could not be reached, broke the connection or could not serve the call.
 var ErrPeerFailed = namespace.NewType("peer")
 
-// Times of the inner protocol.
+// Timeouts and intervals of connections and streams between peers.
 const (
 	dialTimeout = 500 * time.Millisecond
 	idleTimeout = 2 * time.Minute
-	// StreamTimeout is how long a stream may be without a byte.
+	// StreamTimeout is the longest time between two messages on a stream before the stream counts as broken.
 	StreamTimeout = 900 * time.Millisecond
-	// KeepAliveInterval is the time between two keep-alive messages on a stream.
+	// KeepAliveInterval is the time between two keep-alive messages on a stream whose response is not ready yet.
 	KeepAliveInterval = 250 * time.Millisecond
 )
 
@@ -41,12 +42,12 @@
 type Client struct {
 	config ClientConfig
 	pool   *drpcpool.Pool[string, drpcpool.Conn]
-	sent   atomic.Int64
-	// received counts what peers answered.
+	// sent and received count bytes over all connections.
+	sent     atomic.Int64
 	received atomic.Int64
 }
 
-// NewClient returns a client and the function that closes its connections.
+// NewClient returns a client and a function that closes its connections.
 func NewClient(c ClientConfig) (*Client, func()) {
 	if c.Dial == nil {
 		dialer := net.Dialer{Timeout: dialTimeout}
@@ -57,13 +58,14 @@
 	return client, func() { _ = client.pool.Close() }
 }
 
-// Peer returns the calls of the peer at an inner address.
+// Peer returns the RPC client of the peer at an inner address; a connection is opened with the first call.
 func (c *Client) Peer(ctx context.Context, address string) DRPCPeerClient {
 	return NewDRPCPeerClient(c.pool.Get(ctx, address, c.dial))
 }
 
-// callWithRetry makes a short call. When the peer stays silent for a while, it is asked once more on a new connection: an open one may lose
-// everything in one direction without an error.
+// callWithRetry makes a unary call. If the peer does not reply within firstTimeout, it closes the peer's idle connections
+// and makes the call once more on a new one: an established connection may lose all packets in one direction without an
+// error.
 func callWithRetry[R any](ctx context.Context, c *Client, address string, firstTimeout time.Duration, call func(context.Context, DRPCPeerClient) (R, error)) (R, error) {
 	firstCtx, cancel := context.WithTimeout(ctx, firstTimeout)
 	reply, err := call(firstCtx, c.Peer(firstCtx, address))
@@ -76,23 +78,24 @@
 	return call(ctx, c.Peer(ctx, address))
 }
 
-// closeIdle closes the idle connections to a peer.
+// closeIdle closes the pooled connections to a peer that are not in use.
 func (c *Client) closeIdle(address string) {
 	for conn, found := c.pool.Take(address); found; conn, found = c.pool.Take(address) {
-		// The connection is given up; what its end says changes nothing.
+		// The connection is discarded, so an error of Close does not matter.
 		_ = conn.Close()
 	}
 }
 
-// Times of fetching notes.
+// Timeouts of FetchNotes.
 const (
-	// fetchTimeout is how long a fetch may take in all, enough for a large snapshot on a slow line.
+	// fetchTimeout limits a fetch over both attempts; it is enough for a large snapshot over a slow link.
 	fetchTimeout = 2 * time.Second
-	// firstFetchTimeout is how long one may go unanswered before it is tried again on a new connection.
+	// firstFetchTimeout limits the first attempt, before the retry on a new connection.
 	firstFetchTimeout = fetchTimeout / 4
 )
 
-// FetchNotes fetches what a peer knows above a note.
+// FetchNotes fetches the notes with numbers above the given one from a peer, or a snapshot if the peer no longer keeps
+// all of them.
 func (c *Client) FetchNotes(ctx context.Context, address string, above int) (*FetchNotesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -101,16 +104,16 @@
 	})
 }
 
-// BytesSent returns the bytes sent to all peers so far.
+// BytesSent returns the number of bytes sent to all peers, TLS records included.
 func (c *Client) BytesSent() int64 { return c.sent.Load() }
 
-// BytesReceived returns the bytes that peers answered so far.
+// BytesReceived returns the number of bytes received from all peers, TLS records included.
 func (c *Client) BytesReceived() int64 { return c.received.Load() }
 
 func (c *Client) dial(ctx context.Context, address string) (drpcpool.Conn, error) {
 	conn, err := c.config.Dial(ctx, "tcp", address)
 	if err != nil {
-		return nil, ErrPeerFailed.New("peer %s refused the connection (%v); it is left to the next heartbeat", address, err)
+		return nil, ErrPeerFailed.New("cannot connect to peer %s (%v); the next heartbeat tries again", address, err)
 	}
 	conn = &countedConn{conn, &c.sent, &c.received}
 	if c.config.TLS != nil {
@@ -119,7 +122,7 @@
 	return drpcconn.New(conn), nil
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn adds the bytes that pass over a connection to the client's counters.
 type countedConn struct {
 	net.Conn
 	sent, received *atomic.Int64
@@ -139,8 +142,8 @@
 	return n, err
 }
 
-// Forward sends a keyed request to the host of its grant and waits for the answer.
-// Every stream has its own liveness check; errors are ErrSilent or ErrPeer.
+// Forward sends a request with an Idempotency-Key to the host that issued the key's grant, and waits for the response.
+// Keep-alive messages on the stream show meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
 func (c *Client) Forward(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -165,7 +168,7 @@
 
 func forwardError(ctx context.Context, address string, err error) error {
 	if ctx.Err() != nil {
-		return ErrStreamTimeout.New("peer %s sent nothing for %v; asking again on a new connection", address, StreamTimeout)
+		return ErrStreamTimeout.New("peer %s sent nothing for %v; retry on a new connection", address, StreamTimeout)
 	}
-	return ErrPeerFailed.New("peer %s broke the stream (%v); asking again", address, err)
+	return ErrPeerFailed.New("peer %s broke the stream (%v); retry", address, err)
 }
--- a/internal/inner/doc.go
+++ b/internal/inner/doc.go
@@ -1,2 +1,4 @@
-// Package inner is the protocol between entry hosts: drpc messages, their server and their client.
+// Package inner is the RPC protocol between the entry hosts of a fleet, called peers here: the drpc messages of
+// inner.proto, a server, a client with pooled connections, and the heartbeat exchange on top of them. Peers listen for
+// it at their inner address, apart from the address for callers.
 package inner
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -9,27 +9,29 @@
 	"briarcroft/internal/ring"
 )
 
-// Times of a heartbeat.
+// Timeouts of a heartbeat.
 const (
-	// heartbeatTimeout is how long one may take in all, a little less than the time between two rounds.
+	// heartbeatTimeout limits the calls of one heartbeat to one peer; it is a little shorter than the time between two
+	// rounds, so that rounds do not overlap.
 	heartbeatTimeout = host.BeatEvery - 50*time.Millisecond
-	// firstHeartbeatTimeout is how long one may go unanswered before it goes out again on a new connection.
+	// firstHeartbeatTimeout limits the first attempt, before the retry on a new connection.
 	firstHeartbeatTimeout = heartbeatTimeout / 2
 )
 
-// Heartbeats exchanges what a host knows of the members with its peers.
+// Heartbeats exchanges the member table of a host with those of its peers, by gossip: each heartbeat and each reply
+// carries what the sender knows about all members.
 type Heartbeats struct {
 	Table  *host.Table
 	Client *Client
-	// Now returns the time since the host's start.
+	// Now returns the time since this host's start.
 	Now func() time.Duration
-	// NewRequest makes the message that tells news.
+	// NewRequest returns the request that carries the given gossip.
 	NewRequest func(host.News) *HeartbeatRequest
-	// OnReply takes in a reply, whose members are in the table already; nil means that only members are exchanged.
+	// OnReply is called with each reply after its members are merged into Table, to handle its other fields; may be nil.
 	OnReply func(*HeartbeatReply)
 }
 
-// Run sends rounds of heartbeats on time, or at once when kicked, until the context ends.
+// Run calls round whenever the next heartbeats are due, or at once when trigger gets an item, until the context ends.
 func (h *Heartbeats) Run(ctx context.Context, trigger *ring.Ring[struct{}], round func(context.Context)) {
 	for ctx.Err() == nil {
 		round(ctx)
@@ -39,7 +41,8 @@
 	}
 }
 
-// Round exchanges heartbeats with the peers at some inner addresses and returns when each has answered or failed.
+// Round exchanges heartbeats with the peers at the given inner addresses in parallel and returns when every peer has
+// replied or failed.
 func (h *Heartbeats) Round(ctx context.Context, addresses []string) {
 	request := h.NewRequest(h.Table.Outgoing(h.Now()))
 	var group sync.WaitGroup
@@ -49,7 +52,8 @@
 	group.Wait()
 }
 
-// exchange exchanges members with one peer, and sends in full what the peer could not place.
+// exchange sends a heartbeat to one peer and merges the reply. It then sends in full the members whose digests the peer
+// did not know.
 func (h *Heartbeats) exchange(ctx context.Context, address string, request *HeartbeatRequest) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -66,7 +70,7 @@
 		return
 	}
 	request = h.NewRequest(h.Table.Full(DecodeMemberHashes(reply.Unknown)))
-	// Without an answer the next round asks again.
+	// If this call fails, the peer names the unknown digests again in the next round.
 	if reply, err = callWithRetry(ctx, h.Client, address, firstHeartbeatTimeout, send); err == nil {
 		h.handleReply(reply)
 	}
@@ -79,7 +83,7 @@
 	}
 }
 
-// HandleHeartbeat takes in a peer's heartbeat and returns what that peer does not know.
+// HandleHeartbeat merges a peer's heartbeat into the table and returns a reply with what the peer does not know yet.
 func HandleHeartbeat(table *host.Table, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
 	gossip := table.Answer(now, r.Sender, host.News{Members: DecodeMembers(r.Members), Pulses: DecodeDigests(r.Pulses)})
 	return &HeartbeatReply{
@@ -87,7 +91,8 @@
 	}
 }
 
-// SenderWithNewerNote returns the sender of a heartbeat or its reply when a note above the given one is in force there.
+// SenderWithNewerNote returns the sender of a heartbeat or of its reply if the note in force there is newer than the
+// given one.
 func SenderWithNewerNote(sender string, members []*Member, note int) (host.Member, bool) {
 	for _, m := range members {
 		if m.Name == sender && int(m.Note) > note {
@@ -97,7 +102,7 @@
 	return host.Member{}, false
 }
 
-// NewHeartbeatRequest makes the message of a heartbeat.
+// NewHeartbeatRequest returns the request that carries the sender's gossip.
 func NewHeartbeatRequest(sender string, gossip host.News) *HeartbeatRequest {
 	return &HeartbeatRequest{Sender: sender, Members: EncodeMembers(gossip.Members), Pulses: EncodeDigests(gossip.Pulses)}
 }
--- a/internal/inner/members.go
+++ b/internal/inner/members.go
@@ -2,7 +2,7 @@
 
 import "briarcroft/internal/host"
 
-// EncodeMembers encodes members.
+// EncodeMembers converts members to wire messages.
 func EncodeMembers(members []host.Member) []*Member {
 	list := make([]*Member, 0, len(members))
 	for _, m := range members {
@@ -14,7 +14,7 @@
 	return list
 }
 
-// DecodeMembers decodes members.
+// DecodeMembers converts wire messages to members.
 func DecodeMembers(members []*Member) []host.Member {
 	list := make([]host.Member, 0, len(members))
 	for _, m := range members {
@@ -42,7 +42,7 @@
 	return list
 }
 
-// EncodeDigests encodes pulses.
+// EncodeDigests converts member digests to wire messages; a digest is called a pulse on the wire.
 func EncodeDigests(digests []host.Pulse) []*Pulse {
 	list := make([]*Pulse, 0, len(digests))
 	for _, d := range digests {
@@ -51,7 +51,7 @@
 	return list
 }
 
-// DecodeDigests decodes pulses.
+// DecodeDigests converts wire messages to member digests.
 func DecodeDigests(pulses []*Pulse) []host.Pulse {
 	list := make([]host.Pulse, 0, len(pulses))
 	for _, p := range pulses {
@@ -60,7 +60,7 @@
 	return list
 }
 
-// EncodeMemberHashes encodes the pulses that were not understood.
+// EncodeMemberHashes converts the hashes of digests that match no known member to their wire form.
 func EncodeMemberHashes(hashes []host.ID) []uint32 {
 	list := make([]uint32, 0, len(hashes))
 	for _, hash := range hashes {
@@ -69,7 +69,7 @@
 	return list
 }
 
-// DecodeMemberHashes decodes the pulses that were not understood.
+// DecodeMemberHashes converts the hashes of digests that match no known member from their wire form.
 func DecodeMemberHashes(hashes []uint32) []host.ID {
 	list := make([]host.ID, 0, len(hashes))
 	for _, hash := range hashes {
--- a/internal/inner/server.go
+++ b/internal/inner/server.go
@@ -10,18 +10,19 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// ServerConfig sets up a server; TLS is nil for plain TCP.
+// ServerConfig configures Serve; TLS is nil for plain TCP.
 type ServerConfig struct {
 	Listener net.Listener
 	Handler  DRPCPeerServer
 	TLS      *tls.Config
 }
 
-// Serve answers peers until the context ends and reports its end on the returned channel.
+// Serve handles calls of peers in the background until the context ends; the returned channel gets the server's final
+// error.
 func Serve(ctx context.Context, c ServerConfig) (<-chan error, error) {
 	mux := drpcmux.New()
 	if err := DRPCRegisterPeer(mux, c.Handler); err != nil {
-		return nil, errorx.Decorate(err, "register the inner protocol")
+		return nil, errorx.Decorate(err, "register the protocol between entry hosts")
 	}
 	listener := c.Listener
 	if c.TLS != nil {
--- a/internal/inner/tls_test.go
+++ b/internal/inner/tls_test.go
@@ -23,7 +23,7 @@
 	"github.com/matryer/is"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority whose certificates and keys are written to files in dir.
 type authority struct {
 	is          *is.I
 	dir         string
@@ -52,7 +52,7 @@
 	return path
 }
 
-// sign writes a certificate and its key and returns their paths.
+// sign issues a certificate, writes it and its key to files and returns their paths.
 func (a *authority) sign(name string) (certificate, key string) {
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	a.is.NoErr(err)
@@ -66,7 +66,8 @@
 	return a.write(name+".pem", "CERTIFICATE", der), a.write(name+"-key.pem", "EC PRIVATE KEY", keyDER)
 }
 
-// loadPeerTLS returns the mutual TLS configuration of a host that looks at its files at every handshake.
+// loadPeerTLS returns the mutual TLS configuration of a host that checks its certificate files for changes at every
+// handshake.
 func loadPeerTLS(certificate, key, authority string) (*tls.Config, error) {
 	files, err := certificates.Load(certificates.Config{Certificate: certificate, Key: key, Authority: authority, CheckEvery: time.Nanosecond})
 	if err != nil {
@@ -75,6 +76,7 @@
 	return files.Peers(), nil
 }
 
+// countsServer answers Counts calls and no others.
 type countsServer struct {
 	inner.DRPCPeerUnimplementedServer
 }
@@ -83,7 +85,9 @@
 	return &inner.CountsReply{}, nil
 }
 
-// TestPeersWithoutTrustedCertificateAreRejected calls a host with a certificate of its authority, of another, and without one.
+// TestPeersWithoutTrustedCertificateAreRejected calls a host over TLS with a certificate of its own authority, with one
+// of another authority and over plain TCP, and replaces keys and the authority while the server runs. A peer is accepted
+// exactly if both sides trust each other's authority at the time of the handshake.
 func TestPeersWithoutTrustedCertificateAreRejected(t *testing.T) {
 	is := is.New(t)
 	trusted, untrusted := newAuthority(is, t.TempDir()), newAuthority(is, t.TempDir())
@@ -110,21 +114,21 @@
 	peer, err := loadPeerTLS(certificate, key, authorityFile)
 	is.NoErr(err)
 	is.NoErr(call(inner.ClientConfig{TLS: peer}))
-	// The keys are replaced while both run; half a replacement leaves the old ones in use.
+	// The peer's files are replaced while both sides run; while they are incomplete, the old ones stay in use.
 	is.NoErr(os.WriteFile(filepath.Join(trusted.dir, "peer.pem"), []byte("half"), 0o600))
 	is.NoErr(call(inner.ClientConfig{TLS: peer}))
 	trusted.sign("peer")
 	is.NoErr(call(inner.ClientConfig{TLS: peer}))
-	certificate, key = untrusted.sign("stranger")
+	certificate, key = untrusted.sign("untrusted-peer")
 	untrustedPeer, err := loadPeerTLS(certificate, key, authorityFile)
 	is.NoErr(err)
-	is.True(call(inner.ClientConfig{TLS: untrustedPeer}) != nil) // the server refuses it
-	certificate, key = trusted.sign("wary")
+	is.True(call(inner.ClientConfig{TLS: untrustedPeer}) != nil) // the server rejects the client
+	certificate, key = trusted.sign("distrustful-peer")
 	distrustfulPeer, err := loadPeerTLS(certificate, key, filepath.Join(untrusted.dir, "authority.pem"))
 	is.NoErr(err)
-	is.True(call(inner.ClientConfig{TLS: distrustfulPeer}) != nil) // the client refuses the server
+	is.True(call(inner.ClientConfig{TLS: distrustfulPeer}) != nil) // the client rejects the server
 	is.True(call(inner.ClientConfig{}) != nil)                     // plain TCP
-	// A new authority for the server: who was known is a stranger now.
+	// The server gets another authority: certificates that it accepted before are rejected now.
 	untrustedPEM, err := os.ReadFile(filepath.Join(untrusted.dir, "authority.pem"))
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(authorityFile, untrustedPEM, 0o600))
--- a/internal/inner/verdict.go
+++ b/internal/inner/verdict.go
@@ -6,7 +6,8 @@
 	"briarcroft/internal/placement"
 )
 
-// EncodeVerdict encodes a home's verdict on the request of that number.
+// EncodeVerdict converts a home's verdict on a request to its wire message. The number identifies the request on its
+// placement stream.
 func EncodeVerdict(number uint64, v placement.Verdict) *PlaceVerdict {
 	switch v := v.(type) {
 	case placement.Placed:
@@ -29,7 +30,7 @@
 	}
 }
 
-// DecodeVerdict decodes a home's verdict; it returns nil for one that only shows that the home still listens.
+// DecodeVerdict converts a wire message to a home's verdict; it returns nil for a keep-alive message.
 func DecodeVerdict(wire *PlaceVerdict) placement.Verdict {
 	switch wire.Kind {
 	case VerdictKind_Placed:
@@ -54,7 +55,8 @@
 	}
 }
 
-// EncodePlaceAsk encodes a request for a place; the times left count from now.
+// EncodePlaceAsk converts a placement request to its wire message. Goal and deadline become durations from now, because
+// the clocks of two hosts differ.
 func EncodePlaceAsk(now time.Duration, r *placement.Request) *PlaceAsk {
 	return &PlaceAsk{
 		Class: r.Class, Priority: uint32(r.Priority), GoalMicroseconds: (r.Goal - now).Microseconds(),
@@ -63,7 +65,7 @@
 	}
 }
 
-// DecodePlaceAsk decodes a request for a place that came now.
+// DecodePlaceAsk converts a wire message that was received at now to a placement request with times on this host's clock.
 func DecodePlaceAsk(now time.Duration, id placement.ID, wire *PlaceAsk) *placement.Request {
 	return &placement.Request{
 		ID: id, Class: wire.Class, Priority: int(wire.Priority), Goal: now + microseconds(wire.GoalMicroseconds),
@@ -72,7 +74,7 @@
 	}
 }
 
-// EncodeRunEnd encodes the end of a run.
+// EncodeRunEnd converts the end of a run to its wire message.
 func EncodeRunEnd(end placement.Done) *RunEnd {
 	wire := &RunEnd{Target: end.Target, Outcome: uint32(end.Outcome), TookMicroseconds: end.Took.Microseconds(), Bytes: uint32(end.Bytes)}
 	if l := end.Load; l != nil {
@@ -81,7 +83,7 @@
 	return wire
 }
 
-// DecodeRunEnd decodes the end of a run.
+// DecodeRunEnd converts a wire message to the end of a run of the request with the given ID.
 func DecodeRunEnd(id placement.ID, wire *RunEnd) placement.Done {
 	end := placement.Done{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Took: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
 	if l := wire.Load; l != nil {
