--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -11,29 +11,30 @@
 	"github.com/joomcode/errorx"
 )
 
-// snapshotInterval is the number of notes between two snapshots in the store.
+// snapshotInterval is the number of notes after which the snapshot in the store is replaced.
 const snapshotInterval = 16
 
-// rangePageSize is the most records read from the store in one call.
+// rangePageSize is the maximum number of records that one call reads from the store.
 const rangePageSize = 128
 
-// defaultRetryPause is the time between two attempts to settle whether a note was accepted.
+// defaultRetryPause is the time between two attempts to write a record that the store has not confirmed.
 const defaultRetryPause = 200 * time.Millisecond
 
-// Archive is the chain of accepted notes as the store holds it.
+// Archive reads, extends and verifies the chain of published notes in the store.
 type Archive struct {
 	store      platform.Store
 	retryPause time.Duration
 }
 
-// ArchiveConfig names the store.
+// ArchiveConfig configures an Archive.
 type ArchiveConfig struct {
 	Store platform.Store
-	// RetryPause is the time between two attempts to settle a publication; zero means the default.
+	// RetryPause is the time between two attempts to write a record that the store has not confirmed; zero means the
+	// default.
 	RetryPause time.Duration
 }
 
-// NewArchive returns the store's chain.
+// NewArchive returns the archive in a store.
 func NewArchive(c ArchiveConfig) *Archive {
 	if c.RetryPause == 0 {
 		c.RetryPause = defaultRetryPause
@@ -41,7 +42,7 @@
 	return &Archive{c.Store, c.RetryPause}
 }
 
-// CatchUp brings a chain up to the store's newest note, from a snapshot when it is far behind.
+// CatchUp applies the store's newer records to a chain, starting from the snapshot if the chain is far behind.
 // A stale read leaves the chain as it is. Errors are platform.ErrUnavailable or ErrChain.
 func (a *Archive) CatchUp(ctx context.Context, chain *Chain) error {
 	last, found, err := a.store.Last(ctx, KeyPrefix)
@@ -84,7 +85,7 @@
 		return err
 	}
 	if len(entries) == 0 {
-		return ErrChain.New("note %d is missing from the store; its read was stale, read again", chain.Number()+1)
+		return ErrChain.New("note %d is missing from what the store returned; that read was stale, read again", chain.Number()+1)
 	}
 	for _, entry := range entries {
 		var r Record
@@ -105,8 +106,10 @@
 	return nil
 }
 
-// Publish accepts a note by one compare-and-swap.
-// Errors are ErrInvalid, ErrConflict, ErrUnknown, ErrChain or platform.ErrUnavailable; only after ErrUnknown may the note be in force.
+// Publish stores a note as the next record of the chain; the nonce tells the record from others with the same content.
+// The record's key is created atomically if it is absent, so that one of several concurrent publications succeeds.
+// Errors are ErrInvalid, ErrConflict, ErrOutcomeUnknown, ErrChain or platform.ErrUnavailable; the note can be in force
+// only after ErrOutcomeUnknown.
 func (a *Archive) Publish(ctx context.Context, n Note, nonce string, now time.Time) (Record, error) {
 	chain := &Chain{}
 	if err := a.CatchUp(ctx, chain); err != nil {
@@ -135,8 +138,8 @@
 		n.Follows, winner.Number, winner.Note.Operator, winner.Note.Reason, winner.Number)
 }
 
-// create writes the record's key until the store says who holds it.
-// Repeating it is safe: the key is written once, and the nonce tells whose record it holds.
+// create tries to create the record's key until the store confirms which record the key holds.
+// Retries are safe: the key is created only once, and the nonce shows whether it holds this record or another one.
 func (a *Archive) create(ctx context.Context, r Record) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -166,7 +169,8 @@
 	return conflictError(r.Note, winner)
 }
 
-// writeSnapshot replaces the stored snapshot with a newer one; a failure only makes starts slower.
+// writeSnapshot replaces the stored snapshot with a newer one. Errors are ignored, because without a snapshot hosts only
+// take longer to start.
 func (a *Archive) writeSnapshot(ctx context.Context, s Snapshot) {
 	value, err := json.Marshal(s)
 	if err != nil {
@@ -183,8 +187,8 @@
 	_, _ = a.store.Swap(ctx, SnapshotKey, value, entry.Revision)
 }
 
-// Verify checks the whole chain in the store from the first note on, and returns its head and the hash of every record.
-// Errors are platform.ErrUnavailable, or ErrChain together with the last record that is in order.
+// Verify checks every record in the store from the first note on, and returns the newest record and the hashes of all
+// records by number. Errors are platform.ErrUnavailable, or ErrChain together with the last valid record.
 func (a *Archive) Verify(ctx context.Context) (Record, map[int]string, error) {
 	chain := &Chain{}
 	hashes := map[int]string{}
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -21,11 +21,12 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// fakeStore is the store's interface in memory, with unconfirmed writes.
+// fakeStore is a store in memory whose writes can go unconfirmed.
 type fakeStore struct {
 	platform.Store
 	keys map[string][]byte
-	// unconfirmedWrites is how many writes take effect without a confirmation, and drop how many have no effect.
+	// unconfirmedWrites is the number of next writes that take effect but return an error, and droppedWrites the number of
+	// next writes that return an error without effect.
 	unconfirmedWrites, droppedWrites int
 }
 
@@ -69,7 +70,7 @@
 	}
 	if s.unconfirmedWrites > 0 {
 		s.unconfirmedWrites--
-		return platform.CreateResult{}, platform.ErrUnavailable.New("lost")
+		return platform.CreateResult{}, platform.ErrUnavailable.New("unconfirmed")
 	}
 	return platform.CreateResult{Won: !found, Existing: platform.Entry{Key: key, Value: existing}}, nil
 }
@@ -83,7 +84,9 @@
 	return Note{Follows: follows, Operator: "o", Reason: "r", Services: []Service{{Name: name, QueueLimit: 1, Homes: 1}}}
 }
 
-// TestNumbersNeverFall feeds hosts any mix of store reads, peers' records and snapshots, repeated, reordered and forged.
+// TestNumbersNeverFall checks that the note number of a host never decreases and that a host holds only published notes,
+// whatever the order in which it gets records and snapshots from the store and from peers, repeated or forged ones among
+// them. At the end every host catches up with the store.
 func TestNumbersNeverFall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{keys: map[string][]byte{}}
@@ -93,7 +96,7 @@
 		highest := make([]int, len(hosts))
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
-				store.unconfirmedWrites = rapid.IntRange(0, 1).Draw(t, "lose")
+				store.unconfirmedWrites = rapid.IntRange(0, 1).Draw(t, "unconfirmed writes")
 				head := len(accepted)
 				follows := max(0, head-rapid.IntRange(0, 1).Draw(t, "behind"))
 				nonce := fmt.Sprint(rapid.Uint64().Draw(t, "nonce"))
@@ -102,17 +105,17 @@
 				r, err := archive.Publish(ctx, noteAddingService(follows, fmt.Sprintf("s%d", head)), nonce, time.Unix(0, 0))
 				switch {
 				case err == nil && follows != head:
-					t.Fatalf("a note that follows %d was accepted after %d", follows, head)
+					t.Fatalf("a note that follows %d was accepted after note %d", follows, head)
 				case err == nil:
 					accepted[r.Number] = r.Hash()
 				case follows == head || !errorx.IsOfType(err, ErrConflict):
-					t.Fatalf("publish misreported: %v", err)
+					t.Fatalf("publishing a note that follows %d after note %d returned %v", follows, head, err)
 				}
 			},
 			"read store": func(t *rapid.T) {
 				_ = archive.CatchUp(context.Background(), hosts[rapid.IntRange(0, 2).Draw(t, "host")])
 			},
-			"hear peer": func(t *rapid.T) {
+			"get peer notes": func(t *rapid.T) {
 				from, to := hosts[rapid.IntRange(0, 2).Draw(t, "from")], hosts[rapid.IntRange(0, 2).Draw(t, "to")]
 				snapshot, records := from.Since(rapid.IntRange(0, len(accepted)).Draw(t, "above"))
 				if snapshot != nil {
@@ -122,35 +125,36 @@
 					_, _ = to.Apply(r)
 				}
 			},
-			"forge": func(t *rapid.T) {
+			"forge record": func(t *rapid.T) {
 				head, _, _ := hosts[0].Head()
 				forged := Record{Number: head.Number + 1, Previous: "forged", Note: noteAddingService(head.Number, "forged")}
 				if applied, _ := hosts[0].Apply(forged); applied {
-					t.Fatal("a forged record was adopted")
+					t.Fatal("a forged record was applied")
 				}
 			},
 			"": func(t *rapid.T) {
 				for i, h := range hosts {
 					head, hash, configuration := h.Head()
 					if head.Number < highest[i] {
-						t.Fatalf("host %d fell from note %d to %d", i, highest[i], head.Number)
+						t.Fatalf("host %d went back from note %d to %d", i, highest[i], head.Number)
 					}
 					highest[i] = head.Number
 					if head.Number > 0 && (accepted[head.Number] != hash || len(configuration.Services) != head.Number) {
-						t.Fatalf("host %d has another note %d than was accepted", i, head.Number)
+						t.Fatalf("note %d of host %d differs from the published one", head.Number, i)
 					}
 				}
 			},
 		})
 		for _, h := range hosts {
 			if err := archive.CatchUp(context.Background(), h); err != nil || h.Number() != len(accepted) {
-				t.Fatalf("a host ended at %d of %d: %v", h.Number(), len(accepted), err)
+				t.Fatalf("a host caught up to note %d of %d: %v", h.Number(), len(accepted), err)
 			}
 		}
 	})
 }
 
-// TestUnconfirmedPublishIsUnknown checks that a publish without any confirmation is neither accepted nor refused.
+// TestUnconfirmedPublishIsUnknown checks that a publication that the store never confirms is reported neither as a success
+// nor as a failure.
 func TestUnconfirmedPublishIsUnknown(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{keys: map[string][]byte{}, droppedWrites: 1 << 30}
@@ -175,7 +179,7 @@
 	store.keys[Key(3)] = []byte(strings.Replace(string(store.keys[Key(3)]), `"Reason":"r"`, `"Reason":"x"`, 1))
 	head, _, err = archive.Verify(context.Background())
 	is.True(errorx.IsOfType(err, ErrChain))
-	is.Equal(head.Number, 3) // the record after the changed one does not follow it
+	is.Equal(head.Number, 3) // note 4 does not hold the hash of the changed record
 }
 
 func TestParseErrorsNameLineAndRemedy(t *testing.T) {
@@ -194,7 +198,7 @@
 		{"repeated key", head + "[Service s]\nHomes = 1\nHomes = 2\n", "is given more than once; keep one"},
 		{"no note", "[Service s]\n", "[Note] is missing"},
 		{"no key", head + "nonsense\n", "write Key = Value"},
-		{"status", head + "[Rule r]\nPath = /\nService = s\nNotRunStatuses = 200\n", "statuses from 400 to 599"},
+		{"bad status", head + "[Rule r]\nPath = /\nService = s\nNotRunStatuses = 200\n", "statuses from 400 to 599"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -203,7 +207,7 @@
 				t.Fatalf("got %v, want %q", err, c.want)
 			}
 			if !errorx.IsOfType(err, document.ErrField) && !errorx.IsOfType(err, document.ErrSyntax) {
-				t.Fatalf("%v has no type of its own", err)
+				t.Fatalf("%v is neither ErrField nor ErrSyntax", err)
 			}
 		})
 	}
@@ -220,7 +224,7 @@
 		note Note
 		want string
 	}{
-		{"nothing", Note{}, "changes nothing"},
+		{"no changes", Note{}, "changes nothing"},
 		{"unknown withdrawal", Note{Withdraw: Withdrawal{Targets: []string{"x"}}}, "not in force"},
 		{"service still used", Note{Withdraw: Withdrawal{Services: []string{"s"}}}, "withdraw the target"},
 		{"unknown service", Note{Targets: []Target{{Name: "u", Service: "x", Address: "127.0.0.1:2"}}}, "add [Service x]"},
@@ -233,7 +237,7 @@
 			after, err := base.Apply(c.note)
 			is.True(errorx.IsOfType(err, ErrInvalid))
 			is.True(strings.Contains(err.Error(), c.want))
-			is.Equal(after.Hash(), base.Hash()) // nothing changed
+			is.Equal(after.Hash(), base.Hash()) // the configuration is unchanged
 		})
 	}
 }
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -11,20 +11,21 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrInvalid reports a note that does not fit the configuration it follows; the message names the entry and the remedy.
+// ErrInvalid reports a note that cannot be applied to the configuration that it follows; the message names the entry and
+// the remedy.
 var ErrInvalid = namespace.NewType("invalid")
 
-// Configuration is the sum of all notes up to one number; every list is sorted by name.
+// Configuration is the result of applying all notes up to one number; every list is sorted by name.
 type Configuration struct {
 	Number   int
 	Services []Service
 	Targets  []Target
 	Rules    []Rule
-	// Limits is nil when the entry host's own settings hold.
+	// Limits replaces the limits in the settings of each entry host unless it is nil.
 	Limits *Limits `json:",omitempty"`
 }
 
-// Apply returns the configuration after the note; errors are ErrInvalid and leave c as it was.
+// Apply returns the configuration that the note leads to, or c itself and ErrInvalid if the note cannot be applied.
 func (c Configuration) Apply(n Note) (Configuration, error) {
 	next := Configuration{Number: c.Number + 1}
 	var err error
@@ -55,7 +56,8 @@
 	return len(n.Services)+len(n.Targets)+len(n.Rules)+len(w.Services)+len(w.Targets)+len(w.Rules) == 0
 }
 
-// mergeEntries removes the withdrawn entries and puts each added one in place of its namesake.
+// mergeEntries returns the old entries without the withdrawn ones and with the added ones, each of which replaces an old
+// entry of the same name.
 func mergeEntries[T any](old, added []T, withdrawn []string, kind string, name func(T) string) ([]T, error) {
 	next := slices.Clone(old)
 	for _, withdrawnName := range withdrawn {
@@ -119,7 +121,8 @@
 	return targets
 }
 
-// Match returns the most specific rule for a request: a named host first, then the longest path, then a named method.
+// Match returns the most specific rule for a request. Rules with a host precede those without, then longer paths precede
+// shorter ones, then rules with methods precede those without.
 func (c Configuration) Match(host, path, method string) (Rule, bool) {
 	var best Rule
 	found := false
@@ -147,7 +150,7 @@
 	return len(r.Methods) > 0 && len(other.Methods) == 0
 }
 
-// LongestDeadline returns the longest deadline of any rule, or the default one.
+// LongestDeadline returns the longest deadline of all rules, and at least the default deadline.
 func (c Configuration) LongestDeadline() time.Duration {
 	longest := defaultDeadline
 	for _, r := range c.Rules {
@@ -162,7 +165,7 @@
 func hash(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(errorx.Panic(errorx.Decorate(err, "plain structs always marshal")))
+		panic(errorx.Panic(errorx.Decorate(err, "a configuration or record cannot be marshaled to JSON")))
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
--- a/internal/note/diff.go
+++ b/internal/note/diff.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Diff returns the release note that leads from one configuration to another.
+// Diff returns the release note that leads from one configuration of the platform to another.
 func Diff(old, next Configuration) Note {
 	n := Note{Follows: old.Number, Operator: "platform", Reason: fmt.Sprintf("configuration %d of the platform", next.Number)}
 	n.Services, n.Withdraw.Services = diffEntries(old.Services, next.Services, serviceName)
@@ -15,7 +15,7 @@
 	return n
 }
 
-// diffEntries returns the entries that are new or changed, and the names of those that are gone.
+// diffEntries returns the entries of next that are new or changed, and the sorted names of those that only old has.
 func diffEntries[T any](old, next []T, name func(T) string) (changed []T, removed []string) {
 	oldHashes := map[string]string{}
 	for _, t := range old {
@@ -34,7 +34,7 @@
 	return changed, removed
 }
 
-// Summary names what a note adds or changes and what it withdraws, in one line.
+// Summary returns one line with the names of the entries that the note sets and of those that it withdraws.
 func (n Note) Summary() string {
 	var parts []string
 	add := func(verb, kind string, names []string) {
--- a/internal/note/note.go
+++ b/internal/note/note.go
@@ -1,4 +1,11 @@
-// Package note parses, folds, chains and publishes release notes, the only way in which operators steer the fleet.
+// Package note handles release notes, the revisions of the load balancer's configuration.
+//
+// A note is a set of changes to services, targets and rules that an operator writes as an INI file. Publishing it stores
+// it as a Record under the next number; each record holds the hash of the one before it, so that the records form a Chain.
+// Applying all notes up to a number gives the Configuration of that number. Every entry host keeps a chain, reads newer
+// records from the store or from its peers, and puts the configuration of the newest one in force.
+//
+// On a platform that stores whole configurations rather than notes, Diff derives the note that leads from one to the next.
 package note
 
 import (
@@ -9,27 +16,29 @@
 
 var namespace = errorx.NewNamespace("note").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrConflict reports that another note took the number; the message names it and what to do.
+// ErrConflict reports that another note was published under the number first; the message names that note and what to do.
 var ErrConflict = namespace.NewType("conflict")
 
-// ErrOutcomeUnknown reports that the store gave no answer on whether the note was accepted.
+// ErrOutcomeUnknown reports that the store did not confirm whether the note was accepted; it may be in force.
 var ErrOutcomeUnknown = namespace.NewType("unknown")
 
-// ErrChain reports a record that does not follow the one before it.
+// ErrChain reports stored data that is no valid chain: a record that is unreadable or missing or that does not follow the
+// one before it, or a snapshot that does not match its record.
 var ErrChain = namespace.NewType("chain")
 
-// Service is a group of targets that answer the same requests.
+// Service is a group of targets that serve the same requests. A home of a service is an entry host that callers send
+// its requests to, or that decides which target runs each of them.
 type Service struct {
 	Name string `ini:"-"`
-	// QueueLimit is the most requests that may wait at one entry host.
+	// QueueLimit is the maximum number of requests in the queue of one entry host.
 	QueueLimit int
-	// Homes is the number of entry hosts that callers are sent to first.
+	// Homes is the number of entry hosts that callers should prefer; a high request rate raises it.
 	Homes int
-	// RetryRatio is the most retries and hedges per first try.
+	// RetryRatio is the maximum number of retries and hedges per first attempt.
 	RetryRatio float64
-	// ReportPath is fetched from targets as their health and load report; empty means no probes.
+	// ReportPath is the path of the targets' health and load report, which probes fetch; empty means no probes.
 	ReportPath string
-	// Connections is the most connections to one target from all entry hosts together; zero means no limit.
+	// Connections is the maximum number of connections to one target over all entry hosts; zero means no limit.
 	Connections int `ini:"-" json:",omitempty"`
 }
 
@@ -39,13 +48,14 @@
 	Service string `required:"true"`
 	Address string `required:"true"`
 	Domain  string `required:"true"`
-	// Slots is how many requests the target runs at a time.
+	// Slots is the number of requests that the target runs at a time.
 	Slots int
-	// Connections is the most connections one entry host opens to the target.
+	// Connections is the maximum number of connections from one entry host to the target.
 	Connections int
 }
 
-// Rule maps requests to a service and a class, and says how they may be steered.
+// Rule maps requests to a service and a class, and says how they may be queued, retried and timed out. A class is a kind
+// of requests that are counted, measured and weighted together.
 type Rule struct {
 	Name string `ini:"-"`
 	// Host matches the request's host exactly; empty matches any.
@@ -56,31 +66,31 @@
 	Methods []string
 	Service string `required:"true"`
 	Class   string
-	// Weight is the class's share of a full queue.
+	// Weight is the class's share of a full queue, relative to the weights of the other classes.
 	Weight int
-	// Deadline is the longest time from arrival to answer.
+	// Deadline is the maximum time from the arrival of a request to its response.
 	Deadline time.Duration
-	// Idempotent says whether a request may be run twice; Auto takes it from the method as RFC 9110 does.
+	// Idempotent says whether a request may run more than once; Auto decides by the method, as RFC 9110 defines it.
 	Idempotent string `allowed:"Auto|Yes|No"`
-	// NotRunStatuses are the backend's answers that mean that it did not run the request.
+	// NotRunStatuses are the response statuses by which a target says that it did not run the request.
 	NotRunStatuses []int
-	// Shares divides the requests among several services; Service is empty then.
+	// Shares divides the requests among several services; Service is empty if it is set.
 	Shares []Share `ini:"-" json:",omitempty"`
-	// Priority is the rank of the requests when they wait; 0 goes first.
+	// Priority orders queued requests; lower numbers are placed first.
 	Priority int `ini:"-" json:",omitempty"`
-	// Goal is the time within which an answer is worth most; zero means none is set.
+	// Goal is the latency goal, from arrival to response; zero means none.
 	Goal time.Duration `ini:"-" json:",omitempty"`
-	// Attempts is the most targets that one request may be sent to; zero means no limit.
+	// Attempts is the maximum number of targets that one request is sent to; zero means no limit.
 	Attempts int `ini:"-" json:",omitempty"`
 }
 
-// Share is the part of a rule's requests that one service gets, by weight.
+// Share is the part of a rule's requests that goes to one service, relative to the weights of the rule's other shares.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Limits bounds what callers may send and how long they may take; sizes are in bytes.
+// Limits bounds the size of callers' requests, in bytes, and the time in which callers must send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -88,16 +98,18 @@
 	IdleTimeout   time.Duration
 }
 
-// Withdrawal names what a note takes away.
+// Withdrawal names the entries that a note removes from the configuration.
 type Withdrawal struct {
 	Services []string
 	Targets  []string
 	Rules    []string
 }
 
-// Note is one release note as its operator wrote it.
+// Note is one release note as its operator wrote it. Its services, targets and rules replace entries of the same name or
+// are added.
 type Note struct {
-	// Follows is the number of the note in force when this one was written; 0 for the first.
+	// Follows is the number of the note that this one was written against, which must still be the newest when it is
+	// published; 0 for the first.
 	Follows  int
 	Operator string
 	Reason   string
@@ -107,7 +119,7 @@
 	Withdraw Withdrawal
 }
 
-// IsIdempotent reports whether a request with the method may be run twice under the rule.
+// IsIdempotent reports whether a request with the given method may run more than once under the rule.
 func (r Rule) IsIdempotent(method string) bool {
 	switch r.Idempotent {
 	case "Yes":
--- a/internal/note/parse.go
+++ b/internal/note/parse.go
@@ -9,7 +9,7 @@
 	"briarcroft/internal/document"
 )
 
-// Defaults for keys that a note leaves out.
+// Default values of optional keys.
 const (
 	defaultQueueLimit  = 256
 	defaultHomes       = 1
@@ -20,7 +20,8 @@
 	defaultDeadline    = 10 * time.Second
 )
 
-// Parse reads a release note in INI; errors are document.ErrSyntax or document.ErrField.
+// Parse parses a release note in INI format; file is the name used in errors, which are document.ErrSyntax or
+// document.ErrField.
 func Parse(file string, text []byte) (Note, error) {
 	var n Note
 	d, err := document.Parse(file, text)
@@ -134,5 +135,5 @@
 	return nil
 }
 
-// maxDeadline is the longest deadline that a rule may set.
+// maxDeadline is the longest deadline that a rule may have.
 const maxDeadline = 5 * time.Minute
--- a/internal/note/record.go
+++ b/internal/note/record.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// KeyPrefix is where accepted notes live in the store.
+// KeyPrefix is the prefix of the store's keys that hold records.
 const KeyPrefix = "briarcroft/notes/"
 
-// SnapshotKey is where the newest snapshot lives in the store.
+// SnapshotKey is the store's key that holds the newest snapshot.
 const SnapshotKey = "briarcroft/snapshot"
 
-// Key returns the store's key for a note number.
+// Key returns the store's key of the record with the given number; keys sort by number.
 func Key(number int) string { return fmt.Sprintf("%s%010d", KeyPrefix, number) }
 
-// Record is an accepted note in its place in the chain.
+// Record is a published note with its number and its link to the record before it.
 type Record struct {
 	Number int
-	// Previous is the hash of the record before; empty for the first.
+	// Previous is the hash of the record before this one; empty for the first.
 	Previous string
-	// Configuration is the hash of the folded configuration.
+	// Configuration is the hash of the configuration that the note leads to.
 	Configuration string
 	Accepted      time.Time
-	// Nonce tells two attempts with the same content apart.
+	// Nonce is different for each publication, so that two publications of the same content can be told apart.
 	Nonce string
 	Note  Note
 }
@@ -30,16 +30,16 @@
 // Hash returns the hexadecimal SHA-256 of the record.
 func (r Record) Hash() string { return hash(r) }
 
-// Snapshot is a record with the configuration it led to, so that a newcomer need not read the whole chain.
+// Snapshot is a record with the configuration that it leads to, so that a host that starts need not read the whole chain.
 type Snapshot struct {
 	Record        Record
 	Configuration Configuration
 }
 
-// Check reports whether the configuration is the one that the record names.
+// Check returns ErrChain unless the configuration matches the hash in the record.
 func (s Snapshot) Check() error {
 	if s.Configuration.Number != s.Record.Number || s.Configuration.Hash() != s.Record.Configuration {
-		return ErrChain.New("snapshot of note %d does not hold the configuration that its record names; read the chain from the store", s.Record.Number)
+		return ErrChain.New("the configuration in the snapshot of note %d does not match the hash in its record; read the chain from the store", s.Record.Number)
 	}
 	return nil
 }
--- a/internal/note/status.go
+++ b/internal/note/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status is which note is in force on a host.
+// Status describes the note in force on a host. Hash is the hash of its record and Configuration that of the configuration.
 type Status struct {
 	Host          string
 	Incarnation   uint64
