--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -10,10 +10,11 @@
 	"github.com/rs/zerolog"
 )
 
-// writeQueueCapacity is how many records may wait for the log's writer.
+// writeQueueCapacity is the maximum number of records that wait to be written to the structured log.
 const writeQueueCapacity = 1024
 
-// Log holds a host's newest records in a bounded ring and writes each to the structured log.
+// Log holds the newest records of a host in memory and writes every record to the structured log in the background.
+// It is safe for concurrent use.
 type Log struct {
 	config   LogConfig
 	recent   *ring.Recent[Record]
@@ -22,7 +23,7 @@
 	sequence uint64
 }
 
-// LogConfig sets up a Book; Capacity is the number of records kept.
+// LogConfig configures a Log; Capacity is the number of records that it holds.
 type LogConfig struct {
 	Host        string
 	Incarnation uint64
@@ -30,7 +31,7 @@
 	Logger      zerolog.Logger
 }
 
-// NewLog returns an empty book and the function that stops its writer after what it holds is written.
+// NewLog returns an empty log and a function that stops its background writer once the pending records are written.
 func NewLog(c LogConfig) (*Log, func()) {
 	l := &Log{
 		config:  c,
@@ -46,7 +47,7 @@
 	}
 }
 
-// Add stamps and stores a record.
+// Add sets the time, host, incarnation and sequence of a record and stores it.
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
 	l.sequence++
@@ -56,8 +57,8 @@
 	l.pending.Push(r)
 }
 
-// Since returns the records not older than since that concern a target, oldest first.
-// An empty target selects all; records without a target concern every target.
+// Since returns the records from the time since on that are about a target, oldest first. Records without a target are
+// about all of them, and an empty target selects all records.
 func (l *Log) Since(target string, since time.Time) []Record {
 	var records []Record
 	for _, r := range l.recent.Items() {
@@ -68,7 +69,7 @@
 	return records
 }
 
-// Unwritten returns how many records were kept but not logged, because the log could not keep up.
+// Unwritten returns the number of records that were not written to the structured log because too many were pending.
 func (l *Log) Unwritten() int64 { return l.pending.Dropped() }
 
 func (l *Log) writeLoop(ctx context.Context, done chan<- struct{}) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// writeRecord writes one record in the event schema that every event shares.
+// writeRecord writes one record to the structured log; the keys are the same for all kinds of records.
 func (l *Log) writeRecord(r Record) {
 	l.config.Logger.Info().
 		Time("At", r.Time).
@@ -108,5 +109,5 @@
 		Str("Cause", r.Cause).
 		Int("Note", r.Note).
 		Interface("Evidence", r.Evidence).
-		Msg("steering changed")
+		Msg("event recorded")
 }
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -2,7 +2,7 @@
 
 import "briarcroft/internal/host"
 
-// FromMembershipEvent returns the record of one change of the membership.
+// FromMembershipEvent returns the record of a change of the membership; noteNumber is the number of the note in force.
 func FromMembershipEvent(e host.Event, noteNumber int) Record {
 	r := Record{Note: noteNumber, Evidence: Evidence{Peer: e.Member.Name, Detail: e.Member.Inner}}
 	switch e.Kind {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,4 +1,6 @@
-// Package record keeps the typed explanations of every change of steering.
+// Package record keeps the event records of an entry host. Each says what changed in the routing of requests or in the
+// membership of entry hosts, why, and on what evidence. The newest records are served over HTTP, and all are written to
+// the structured log. Timeline and EligibleTargets rebuild from them which targets could get requests at which time.
 package record
 
 import (
@@ -7,10 +9,10 @@
 	"time"
 )
 
-// Kind says what changed.
+// Kind says what kind of change a record is about.
 type Kind string
 
-// The kinds of record.
+// The kinds of records.
 const (
 	NoteAdopted        Kind = "NoteAdopted"
 	NoteRejected       Kind = "NoteRejected"
@@ -29,18 +31,19 @@
 	StoreReturned      Kind = "StoreReturned"
 )
 
-// Evidence is what a decision was based on; fields that do not apply are zero.
+// Evidence is the data that a change is based on; fields that do not apply are zero.
 type Evidence struct {
 	Failures int           `json:",omitempty"`
 	Latency  time.Duration `json:",omitempty"`
-	Usual    time.Duration `json:",omitempty"`
-	Queued   int           `json:",omitempty"`
-	Peer     string        `json:",omitempty"`
-	Hash     string        `json:",omitempty"`
-	Detail   string        `json:",omitempty"`
+	// Usual is the mean latency that Latency was compared with.
+	Usual  time.Duration `json:",omitempty"`
+	Queued int           `json:",omitempty"`
+	Peer   string        `json:",omitempty"`
+	Hash   string        `json:",omitempty"`
+	Detail string        `json:",omitempty"`
 }
 
-// Record is one change of steering on one entry host.
+// Record is one change as one entry host saw it. Sequence numbers the records of an incarnation of the host.
 type Record struct {
 	Time        time.Time
 	Host        string
@@ -52,7 +55,7 @@
 	From        string `json:",omitempty"`
 	To          string `json:",omitempty"`
 	Cause       string `json:",omitempty"`
-	// Note is the number of the note in force when it happened.
+	// Note is the number of the note that was in force at the time of the change.
 	Note     int
 	Evidence Evidence
 }
@@ -64,7 +67,8 @@
 	})
 }
 
-// EligibleTargets returns, from one host's records alone, the targets of a service that could get new requests at an instant, sorted.
+// EligibleTargets returns the sorted names of the targets of a service that could get new requests at the given time,
+// according to the records of one host; records must be in the order of their time.
 func EligibleTargets(records []Record, service string, at time.Time) []string {
 	states := map[string]string{}
 	for _, r := range records {
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -7,7 +7,8 @@
 	"briarcroft/internal/page"
 )
 
-// ServeHTTP answers with the records that concern the parameter Target since the time Since; both may be left out.
+// ServeHTTP writes the records about the target in the query parameter Target, from the time in the parameter Since on, as
+// JSON; both parameters are optional.
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since := time.Time{}
 	if text := r.URL.Query().Get("Since"); text != "" {
--- a/internal/record/timeline.go
+++ b/internal/record/timeline.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Interval is a stretch of time in which a target was in one state on one host.
+// Interval is a time span in which a target was in one state on one host.
 type Interval struct {
 	Host        string
 	Incarnation uint64
@@ -20,28 +20,27 @@
 	Evidence    Evidence
 }
 
-// Duration returns how long the interval lasted.
 func (i Interval) Duration() time.Duration { return i.To.Sub(i.From) }
 
-// Eligible reports whether the target could get new requests in the interval.
+// Eligible reports whether the target could get new requests from the host in the interval.
 func (i Interval) Eligible() bool { return i.State == "Live" || i.State == "Ramping" }
 
-// TimeRange is a period that is asked about.
+// TimeRange is the period that a timeline covers.
 type TimeRange struct {
 	From time.Time
 	To   time.Time
 }
 
-// timelineKey names one target on one incarnation of one host.
+// timelineKey identifies the state of one target in one incarnation of a host.
 type timelineKey struct {
 	host        string
 	incarnation uint64
 	target      string
 }
 
-// Timeline returns the intervals of a target's states that reach into a stretch, by host and time.
-// Time before a host's first record of the target is left out: the host did not run, did not know the target,
-// or no longer holds the record.
+// Timeline returns the states of a target on each host as intervals within a period, sorted by host and time.
+// The time before a host's first record about the target is left out: the host was not running, did not have the target
+// in its configuration, or no longer holds the record.
 func Timeline(records []Record, target string, period TimeRange) []Interval {
 	current := map[timelineKey]Interval{}
 	var list []Interval
@@ -71,7 +70,7 @@
 	return clip(list, period)
 }
 
-// clip cuts intervals to a stretch, drops those outside, and sorts the rest.
+// clip cuts intervals to a period, drops those outside and sorts the rest by host and time.
 func clip(list []Interval, period TimeRange) []Interval {
 	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(period.To) || !i.To.After(period.From) })
 	for i := range list {
@@ -88,15 +87,15 @@
 	return list
 }
 
-// Eligibility is how much of a stretch a target was eligible on one host.
+// Eligibility is how long a target could get new requests from one host.
 type Eligibility struct {
 	Host     string
 	Eligible time.Duration
-	// Covered is how much of the stretch the host's records cover.
+	// Covered is how long the host's records say which state the target was in.
 	Covered time.Duration
 }
 
-// EligibilityByHost sums a timeline by host.
+// EligibilityByHost sums the intervals of a timeline by host, sorted by host.
 func EligibilityByHost(timeline []Interval) []Eligibility {
 	byHost := map[string]*Eligibility{}
 	for _, i := range timeline {
--- a/internal/record/timeline_test.go
+++ b/internal/record/timeline_test.go
@@ -7,6 +7,8 @@
 	"github.com/matryer/is"
 )
 
+// TestTimeline checks the timeline of a target whose records come from two hosts, out of order and mixed with those of
+// another target, and what is derived from it.
 func TestTimeline(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 12, 3, 20, 0, 0, 0, time.UTC)
@@ -36,6 +38,7 @@
 		{"a", "Live", 10, 20}, {"a", "Ejected", 20, 30}, {"a", "Ramping", 30, 60}, {"b", "Live", 10, 40}, {"b", "Draining", 40, 50},
 	})
 	is.Equal(EligibilityByHost(list), []Eligibility{{"a", 40 * time.Second, 50 * time.Second}, {"b", 30 * time.Second, 40 * time.Second}})
-	is.Equal(EligibleTargets(records[:4], "s", at(25)), []string{"t"}) // host b alone would say so; hosts are asked one by one
+	// EligibleTargets expects the records of one host. In this mixed list, host b's record comes last and so decides.
+	is.Equal(EligibleTargets(records[:4], "s", at(25)), []string{"t"})
 	is.Equal(len(Timeline(records, "t", TimeRange{at(-20), at(-10)})), 0)
 }
