--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,4 +1,5 @@
-// Package document decodes strict INI files into plain structs, with errors that name file, line, section, key and remedy.
+// Package document decodes INI files into structs. It is strict: unknown, repeated, missing and invalid sections and keys
+// are errors that name the file, the line, the section, the key and what is allowed.
 package document
 
 import (
@@ -21,7 +22,7 @@
 	ini   *ini.File
 }
 
-// Parse reads INI text; file is the name used in errors.
+// Parse parses INI text; file is the name used in errors, which are ErrSyntax or ErrField.
 func Parse(file string, text []byte) (*Document, error) {
 	options := ini.LoadOptions{
 		AllowShadows:               true,
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// FieldError returns an ErrField that names the file, line, section and key; remedy says what is wrong and what is allowed.
+// FieldError returns an ErrField that names the file, line, section and key; key is empty for an error about the section.
+// The problem follows them in the message and says what is wrong and what is allowed.
 func (d *Document) FieldError(section, key, problem string) error {
 	location := fmt.Sprintf("%s:%d: section [%s]", d.file, d.Line(section, key), section)
 	if key != "" {
@@ -91,7 +93,8 @@
 	return ErrField.New("%s %s", location, problem)
 }
 
-// Line returns the 1-based line of a key, or of its section header when the key is absent, or 1.
+// Line returns the line number of a key, or of the section's header if the key is absent, or 1 if the section is absent
+// too.
 func (d *Document) Line(section, key string) int {
 	current, header := ini.DefaultSection, 1
 	for i, line := range d.lines {
@@ -162,7 +165,8 @@
 	return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
 }
 
-// parseInto stores text in value by the value's type and returns a remedy when text does not fit.
+// parseInto parses text by the type of value and stores the result there. If the text is invalid, it returns what to write
+// instead.
 func parseInto(value reflect.Value, text string) string {
 	switch value.Interface().(type) {
 	case string:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the INI settings of one entry host.
+// Package settings reads and checks the settings of one entry host, an INI file, and watches that file for changes.
 package settings
 
 import (
@@ -18,22 +18,24 @@
 // ErrFile reports a settings file that cannot be read.
 var ErrFile = namespace.NewType("file")
 
-// Host names this entry host and the addresses it listens on.
+// Host names this entry host, its failure domain and region, and the addresses that it listens on: Listen for callers and
+// Inner for other entry hosts.
 type Host struct {
 	Name   string `required:"true"`
 	Domain string `required:"true"`
 	Region string
 	Listen string `required:"true"`
 	Inner  string `required:"true"`
-	// Announced is where peers connect to, when that is not Inner: behind a translated address, for one.
+	// Announced is the address that other entry hosts connect to, if it differs from Inner, for instance behind NAT.
 	Announced string
-	// Ready, Directory and Metrics are addresses of the host's own pages, for hosts whose requests are placed by homes.
+	// Ready, Directory and Metrics are the addresses of the readiness check, of the directory of entry hosts and of the
+	// metrics. Only hosts with Platform.Kind Native use them.
 	Ready     string
 	Directory string
 	Metrics   string
 }
 
-// PeerAddress returns the address that peers are told.
+// PeerAddress returns the address that the host announces to other entry hosts.
 func (h Host) PeerAddress() string {
 	if h.Announced != "" {
 		return h.Announced
@@ -41,55 +43,68 @@
 	return h.Inner
 }
 
-// Platform locates the platform's key-value service and host list.
+// Platform locates the platform's key-value store and its list of hosts.
 type Platform struct {
 	Store    string `required:"true"`
 	HostList string
 	Timeout  time.Duration
-	// Kind is the protocol of the store: Etcd for notes published with this program, Native for the users' platform.
+	// Kind is the protocol of the store: Etcd for a store with notes that this program publishes, Native for the metadata
+	// store of the users' platform.
 	Kind string `allowed:"Etcd|Native"`
 }
 
-// Retries is the budget of arrivals at a service beyond the first of each request, over all hosts.
+// Retries is the retry budget of each service over all entry hosts. It limits extra attempts, which are retries and
+// hedges.
 type Retries struct {
-	// Ratio is the most repeats per request within Window, and Slack how many more there may be.
+	// Ratio is the maximum number of extra attempts per request within Window.
 	Ratio  float64
 	Window time.Duration
-	Slack  int
+	// Slack is the number of extra attempts within Window that are allowed beyond Ratio.
+	Slack int
 }
 
-// Peers lists inner addresses to ask first after a start.
+// Peers lists the entry hosts that this one contacts first to join the fleet.
 type Peers struct {
+	// Seeds are their inner addresses.
 	Seeds []string
 }
 
-// Limits bounds what callers may hold; sizes are in bytes.
+// Limits bounds the size and duration of callers' requests, and the memory and the store writes spent on them; sizes are
+// in bytes.
 type Limits struct {
-	HeaderBytes    int
+	HeaderBytes int
+	// KeyedBodyBytes is the maximum size of the body of a request with an Idempotency-Key, and of a response that is stored
+	// for its resends. Hosts with Platform.Kind Native reserve as much memory for a request body of unknown length.
 	KeyedBodyBytes int
 	BodyBytes      int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	StopTimeout    time.Duration
-	AddressMaxAge  time.Duration
-	GrantWindow    time.Duration
-	KeptEntries    int
-	KeptBytes      int
-	ClaimsPerSec   float64
+	// StopTimeout is the maximum duration of a graceful stop.
+	StopTimeout time.Duration
+	// AddressMaxAge is how long callers may cache the addresses of entry hosts.
+	AddressMaxAge time.Duration
+	// GrantWindow is how long after a grant was issued its Idempotency-Key may be used for the first time.
+	GrantWindow time.Duration
+	// KeptEntries and KeptBytes bound the number of idempotency records and the size of the responses stored in them.
+	KeptEntries int
+	KeptBytes   int
+	// ClaimsPerSec is the maximum rate at which Idempotency-Keys without a grant are claimed in the store.
+	ClaimsPerSec float64
 	// HeldBytes bounds the memory that request bodies take.
 	HeldBytes int
-	// MemoryBytes is what the process may use before it collects garbage harder; zero means no limit.
+	// MemoryBytes is the memory use above which the process collects garbage more often; zero means no limit.
 	MemoryBytes int
 }
 
-// Budget bounds the cost of measuring load and latency.
+// Budget bounds what this host spends on measuring the load and latency of targets.
 type Budget struct {
 	ProbesPerSec float64
 	BytesPerSec  float64
-	CoreShare    float64
+	// CoreShare is the share of one processor core, from 0 to 1.
+	CoreShare float64
 }
 
-// TLS names certificate files for callers and for peers; empty means plain TCP.
+// TLS names the PEM files for connections with callers and with other entry hosts (peers); empty means plain TCP.
 type TLS struct {
 	CallerCertificate string
 	CallerKey         string
@@ -103,7 +118,7 @@
 	Level string `allowed:"debug|info|warn|error"`
 }
 
-// Settings is everything an entry host learns from its file.
+// Settings holds the sections of an entry host's settings file.
 type Settings struct {
 	Host     Host
 	Platform Platform
@@ -115,7 +130,7 @@
 	Retries  Retries
 }
 
-// Default returns settings with every optional key at its default.
+// Default returns settings with the default values of all optional keys.
 func Default() Settings {
 	return Settings{
 		Host:     Host{Region: "default"},
@@ -132,16 +147,16 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and checks a settings file; errors are ErrFile, document.ErrSyntax or document.ErrField.
 func Load(file string) (Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return Settings{}, ErrFile.New("%v; name a readable INI file", err)
+		return Settings{}, ErrFile.New("cannot read the settings: %v; name a readable INI file", err)
 	}
 	return Parse(file, text)
 }
 
-// Parse checks settings text; errors are document.ErrSyntax or document.ErrField.
+// Parse parses and checks settings; file is the name used in errors, which are document.ErrSyntax or document.ErrField.
 func Parse(file string, text []byte) (Settings, error) {
 	s := Default()
 	d, err := document.Parse(file, text)
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// WatchConfig sets up Follow.
+// WatchConfig configures Watch.
 type WatchConfig struct {
 	File string
-	// Interval is how often the file is read, and Hup asks for a reading at once.
+	// Interval is the time between two reads of the file.
 	Interval time.Duration
-	Reload   <-chan os.Signal
-	// OnChange gets settings that differ from the last ones, and OnRefused why new ones are not taken.
-	OnChange   func(Settings)
+	// Reload makes Watch read the file at once.
+	Reload <-chan os.Signal
+	// OnChange is called with the new settings after the file has changed.
+	OnChange func(Settings)
+	// OnRejected is called with the error if the file cannot be read or its settings are invalid.
 	OnRejected func(error)
 }
 
-// Watch reads a settings file again and again until the context ends, and reports its end on the channel.
-// A file that can't be used changes nothing.
+// Watch reads a settings file periodically, in the background, and reports changes until the context ends; then it closes
+// the returned channel. A file that cannot be read or is invalid does not count as a change.
 func Watch(ctx context.Context, c WatchConfig) <-chan struct{} {
 	last, err := os.ReadFile(c.File)
 	if err != nil {
-		c.OnRejected(ErrFile.New("%v; the settings in force stay", err))
+		c.OnRejected(ErrFile.New("cannot read the settings: %v; the current ones stay in force", err))
 	}
 	done := make(chan struct{})
 	go func() {
@@ -49,7 +51,7 @@
 		}
 		last = text
 		if err != nil {
-			c.OnRejected(ErrFile.New("%v; the settings in force stay", err))
+			c.OnRejected(ErrFile.New("cannot read the settings: %v; the current ones stay in force", err))
 			continue
 		}
 		s, err := Parse(c.File, text)
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -14,7 +14,8 @@
 
 const validSettings = "[Host]\nName = h\nDomain = d\nListen = 127.0.0.1:1\nInner = 127.0.0.1:2\n[Platform]\nStore = http://127.0.0.1:3\n[Peers]\nSeeds = "
 
-// TestWatch changes a settings file, with a signal and without, and spoils it in between.
+// TestWatch checks that a changed settings file is applied after a signal and after the interval, and that an invalid one
+// is rejected once and leaves the settings as they are.
 func TestWatch(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.ini")
 	synctest.Test(t, func(t *testing.T) {
