--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -31,7 +31,7 @@
 	KeepAliveInterval = 250 * time.Millisecond
 )
 
-// ClientConfig sets up a Client; TLS is nil for plain connections.
+// ClientConfig configures a Client; TLS is nil for plain TCP.
 type ClientConfig struct {
 	TLS *tls.Config
 	// Dial opens connections; nil means TCP.
@@ -142,8 +142,9 @@
 	return n, err
 }
 
-// Forward sends a request with an Idempotency-Key to the host that issued the key's grant, and waits for the response.
-// Keep-alive messages on the stream show meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
+// Forward sends a request with an Idempotency-Key to the host that issued the key's grant, which alone may run it, or to
+// one that keeps the stored responses of that host, and waits for the response. Keep-alive messages on the stream show
+// meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
 func (c *Client) Forward(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/inner/verdict.go
+++ b/internal/inner/verdict.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// EncodeRunEnd converts the end of a run to its wire message.
+// EncodeRunEnd converts the end of a run, which is one attempt of a request on a target, to its wire message.
 func EncodeRunEnd(end placement.Done) *RunEnd {
 	wire := &RunEnd{Target: end.Target, Outcome: uint32(end.Outcome), TookMicroseconds: end.Took.Microseconds(), Bytes: uint32(end.Bytes)}
 	if l := end.Load; l != nil {
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -190,7 +190,7 @@
 		{"bad duration", head + "[Rule r]\nPath = /\nService = s\nDeadline = soon\n", "n.ini:8: section [Rule r] key Deadline has value \"soon\"; write a duration"},
 		{"negative duration", head + "[Rule r]\nPath = /\nService = s\nDeadline = -1s\n", "write a duration of zero or more"},
 		{"missing key", head + "[Target t]\nService = s\nDomain = a\n", "n.ini:5: section [Target t] key Address is missing"},
-		{"bad address", head + "[Target t]\nService = s\nDomain = a\nAddress = host:80\n", "must be an IP number and port"},
+		{"bad address", head + "[Target t]\nService = s\nDomain = a\nAddress = host:80\n", "must be an IP address and port"},
 		{"not allowed", head + "[Rule r]\nPath = /\nService = s\nIdempotent = maybe\n", "allowed: Auto, Yes, No"},
 		{"unknown section", head + "[Targets]\nx = 1\n", "section [Targets] is unknown"},
 		{"no name", head + "[Target]\nService = s\n", "needs one name"},
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (c Configuration) Service(name string) (Service, bool) {
 	i, found := slices.BinarySearchFunc(c.Services, name, func(s Service, n string) int { return strings.Compare(s.Name, n) })
 	if !found {
--- a/internal/note/parse.go
+++ b/internal/note/parse.go
@@ -87,7 +87,7 @@
 	case s.QueueLimit < 1:
 		return d.FieldError(section, "QueueLimit", "must be 1 or more")
 	case s.RetryRatio > 1:
-		return d.FieldError(section, "RetryRatio", "must lie between 0 and 1")
+		return d.FieldError(section, "RetryRatio", "must be between 0 and 1")
 	case s.ReportPath != "" && !strings.HasPrefix(s.ReportPath, "/"):
 		return d.FieldError(section, "ReportPath", "must start with /")
 	}
@@ -103,7 +103,7 @@
 	ip, port, err := net.SplitHostPort(t.Address)
 	switch {
 	case err != nil || net.ParseIP(ip) == nil || port == "":
-		return d.FieldError(section, "Address", "must be an IP number and port such as 127.0.0.1:7001")
+		return d.FieldError(section, "Address", "must be an IP address and port such as 127.0.0.1:7001")
 	case t.Slots < 1:
 		return d.FieldError(section, "Slots", "must be 1 or more")
 	case t.Connections < t.Slots:
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -14,21 +14,34 @@
 
 // The kinds of records.
 const (
-	NoteAdopted        Kind = "NoteAdopted"
-	NoteRejected       Kind = "NoteRejected"
-	TargetMoved        Kind = "TargetMoved"
-	TargetForgotten    Kind = "TargetForgotten"
-	HostJoined         Kind = "HostJoined"
-	HostLeft           Kind = "HostLeft"
-	HostPaused         Kind = "HostPaused"
-	HostSealed         Kind = "HostSealed"
-	HomeMoved          Kind = "HomeMoved"
+	// NoteAdopted means that the host put a newer note in force.
+	NoteAdopted Kind = "NoteAdopted"
+	// NoteRejected means that the host could not apply a note or an entry of the store.
+	NoteRejected Kind = "NoteRejected"
+	// TargetMoved means that a target changed its state, from From to To.
+	TargetMoved Kind = "TargetMoved"
+	// TargetForgotten means that a target was removed from the host's routing table.
+	TargetForgotten Kind = "TargetForgotten"
+	// HostJoined means that an entry host appeared in the membership, for the first time or again.
+	HostJoined Kind = "HostJoined"
+	// HostLeft means that an entry host stopped or that its heartbeats stayed away.
+	HostLeft Kind = "HostLeft"
+	// HostPaused means that the process of this host did not run for a while, so that its own heartbeat was late.
+	HostPaused Kind = "HostPaused"
+	// HostSealed means that this host is stopping and runs no more new requests with its grants.
+	HostSealed Kind = "HostSealed"
+	// HomeMoved means that another host became the home of a service.
+	HomeMoved Kind = "HomeMoved"
+	// RequestQuarantined means that a request is refused for a while because it broke connections of several targets.
 	RequestQuarantined Kind = "RequestQuarantined"
-	BudgetExhausted    Kind = "BudgetExhausted"
-	OverloadBegan      Kind = "OverloadBegan"
-	OverloadEnded      Kind = "OverloadEnded"
-	StoreLost          Kind = "StoreLost"
-	StoreReturned      Kind = "StoreReturned"
+	// BudgetExhausted means that probes of targets are skipped because the budget for measuring is spent.
+	BudgetExhausted Kind = "BudgetExhausted"
+	// OverloadBegan and OverloadEnded enclose a time in which the queue of a service refused requests.
+	OverloadBegan Kind = "OverloadBegan"
+	OverloadEnded Kind = "OverloadEnded"
+	// StoreLost means that calls to the platform's store fail, and StoreReturned that they succeed again.
+	StoreLost     Kind = "StoreLost"
+	StoreReturned Kind = "StoreReturned"
 )
 
 // Evidence is the data that a change is based on; fields that do not apply are zero.
--- a/internal/record/timeline.go
+++ b/internal/record/timeline.go
@@ -91,7 +91,7 @@
 type Eligibility struct {
 	Host     string
 	Eligible time.Duration
-	// Covered is how long the host's records say which state the target was in.
+	// Covered is the part of the period for which the host's records give the target's state.
 	Covered time.Duration
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -83,12 +83,13 @@
 	StopTimeout time.Duration
 	// AddressMaxAge is how long callers may cache the addresses of entry hosts.
 	AddressMaxAge time.Duration
-	// GrantWindow is how long after a grant was issued its Idempotency-Key may be used for the first time.
+	// GrantWindow is how long after its issue a grant may be used for new requests. A grant is the part of an
+	// Idempotency-Key that names the host which may run the request.
 	GrantWindow time.Duration
 	// KeptEntries and KeptBytes bound the number of idempotency records and the size of the responses stored in them.
 	KeptEntries int
 	KeptBytes   int
-	// ClaimsPerSec is the maximum rate at which Idempotency-Keys without a grant are claimed in the store.
+	// ClaimsPerSec is the maximum rate at which this host claims Idempotency-Keys without a grant in the store.
 	ClaimsPerSec float64
 	// HeldBytes bounds the memory that request bodies take.
 	HeldBytes int
@@ -198,12 +199,12 @@
 	}
 	for _, a := range addresses {
 		if !isAddress(a.value) {
-			return d.FieldError(a.section, a.key, "has value \""+a.value+"\"; write an IP number and port such as 127.0.0.1:8080")
+			return d.FieldError(a.section, a.key, "has value \""+a.value+"\"; write an IP address and port such as 127.0.0.1:8080")
 		}
 	}
 	for _, a := range []struct{ key, value string }{{"Announced", s.Host.Announced}, {"Ready", s.Host.Ready}, {"Directory", s.Host.Directory}, {"Metrics", s.Host.Metrics}} {
 		if a.value != "" && !isAddress(a.value) {
-			return d.FieldError("Host", a.key, "has value \""+a.value+"\"; write an IP number and port such as 127.0.0.1:8080")
+			return d.FieldError("Host", a.key, "has value \""+a.value+"\"; write an IP address and port such as 127.0.0.1:8080")
 		}
 	}
 	if !isURL(s.Platform.Store) {
@@ -241,7 +242,7 @@
 		return d.FieldError("Retries", "Window", "must be at least 1s; write a duration such as 10s")
 	}
 	if s.Budget.CoreShare > 1 {
-		return d.FieldError("Budget", "CoreShare", "must lie between 0 and 1")
+		return d.FieldError("Budget", "CoreShare", "must be between 0 and 1")
 	}
 	t := s.TLS
 	if (t.CallerCertificate == "") != (t.CallerKey == "") {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,15 +23,15 @@
 		{"unknown section", minimalSettings + "[Limit]\nx = 1\n", "h.ini:8: section [Limit] is unknown; allowed sections: Host, Platform"},
 		{"bad duration", minimalSettings + "[Limits]\nStopTimeout = 5\n", "key StopTimeout has value \"5\"; write a duration"},
 		{"missing address", strings.Replace(minimalSettings, "Listen = 127.0.0.1:8080\n", "", 1), "h.ini:1: section [Host] key Listen is missing; add it"},
-		{"host name for an address", strings.Replace(minimalSettings, "127.0.0.1:8080", "localhost:8080", 1), "write an IP number and port"},
+		{"host name for an address", strings.Replace(minimalSettings, "127.0.0.1:8080", "localhost:8080", 1), "write an IP address and port"},
 		{"bad seed", minimalSettings + "[Peers]\nSeeds = 127.0.0.1:1, x\n", "key Seeds has value \"x\""},
 		{"bad store", strings.Replace(minimalSettings, "http://127.0.0.1:2379", "127.0.0.1", 1), "must be a URL"},
 		{"dot in name", strings.Replace(minimalSettings, "entry-1", "entry.1", 1), "may hold letters"},
-		{"half a certificate", minimalSettings + "[TLS]\nCallerKey = k.pem\n", "together"},
-		{"too small", minimalSettings + "[Limits]\nKeptEntries = 0\n", "is too small"},
-		{"share", minimalSettings + "[Budget]\nCoreShare = 3\n", "between 0 and 1"},
+		{"key without certificate", minimalSettings + "[TLS]\nCallerKey = k.pem\n", "together"},
+		{"value too small", minimalSettings + "[Limits]\nKeptEntries = 0\n", "is too small"},
+		{"share above 1", minimalSettings + "[Budget]\nCoreShare = 3\n", "between 0 and 1"},
 		{"bad announced address", strings.Replace(minimalSettings, "[Platform]", "Announced = x\n[Platform]", 1), "key Announced has value \"x\""},
-		{"level", minimalSettings + "[Log]\nLevel = loud\n", "allowed: debug, info, warn, error"},
+		{"unknown log level", minimalSettings + "[Log]\nLevel = loud\n", "allowed: debug, info, warn, error"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
