--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -66,7 +66,8 @@
 // callWithRetry makes a unary call. If the peer does not reply within firstTimeout, it closes the peer's idle connections
 // and makes the call once more on a new one: an established connection may lose all packets in one direction without an
 // error.
-func callWithRetry[R any](ctx context.Context, c *Client, address string, firstTimeout time.Duration, call func(context.Context, DRPCPeerClient) (R, error)) (R, error) {
+func callWithRetry[R any](ctx context.Context, c *Client, address string, firstTimeout time.Duration,
+	call func(context.Context, DRPCPeerClient) (R, error)) (R, error) {
 	firstCtx, cancel := context.WithTimeout(ctx, firstTimeout)
 	reply, err := call(firstCtx, c.Peer(firstCtx, address))
 	timedOut := firstCtx.Err() != nil
@@ -99,9 +100,10 @@
 func (c *Client) FetchNotes(ctx context.Context, address string, above int) (*FetchNotesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	return callWithRetry(ctx, c, address, firstFetchTimeout, func(ctx context.Context, peer DRPCPeerClient) (*FetchNotesReply, error) {
-		return peer.FetchNotes(ctx, &FetchNotesRequest{Above: int64(above)})
-	})
+	return callWithRetry(ctx, c, address, firstFetchTimeout,
+		func(ctx context.Context, peer DRPCPeerClient) (*FetchNotesReply, error) {
+			return peer.FetchNotes(ctx, &FetchNotesRequest{Above: int64(above)})
+		})
 }
 
 // BytesSent returns the number of bytes sent to all peers, TLS records included.
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -87,7 +87,8 @@
 func HandleHeartbeat(table *host.Table, now time.Duration, r *HeartbeatRequest) *HeartbeatReply {
 	gossip := table.Answer(now, r.Sender, host.News{Members: DecodeMembers(r.Members), Pulses: DecodeDigests(r.Pulses)})
 	return &HeartbeatReply{
-		Sender: table.Self().Name, Members: EncodeMembers(gossip.Members), Pulses: EncodeDigests(gossip.Pulses), Unknown: EncodeMemberHashes(gossip.Unknown),
+		Sender: table.Self().Name, Members: EncodeMembers(gossip.Members),
+		Pulses: EncodeDigests(gossip.Pulses), Unknown: EncodeMemberHashes(gossip.Unknown),
 	}
 }
 
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -153,7 +153,8 @@
 		select {
 		case <-time.After(a.retryPause):
 		case <-ctx.Done():
-			return ErrOutcomeUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again", r.Number, err, r.Number, r.Nonce)
+			return ErrOutcomeUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again",
+				r.Number, err, r.Number, r.Nonce)
 		}
 	}
 }
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -63,7 +63,7 @@
 	for _, withdrawnName := range withdrawn {
 		i := slices.IndexFunc(next, func(t T) bool { return name(t) == withdrawnName })
 		if i < 0 {
-			return nil, ErrInvalid.New("[Withdraw] names %s %q, which is not in force; remove it from the list", kind, withdrawnName)
+			return nil, ErrInvalid.New("[Withdraw] names %s %q, which is not in the configuration; remove it from the list", kind, withdrawnName)
 		}
 		next = slices.Delete(next, i, i+1)
 	}
@@ -86,7 +86,8 @@
 	addresses := map[string]string{}
 	for _, t := range c.Targets {
 		if _, found := c.Service(t.Service); !found {
-			return ErrInvalid.New("Target %q names service %q, which is not in force; add [Service %s] or withdraw the target", t.Name, t.Service, t.Service)
+			return ErrInvalid.New("Target %q names service %q, which is not in the configuration; add [Service %s] or withdraw the target",
+				t.Name, t.Service, t.Service)
 		}
 		if other, taken := addresses[t.Address]; taken {
 			return ErrInvalid.New("Target %q and Target %q share the address %s; give each its own", other, t.Name, t.Address)
@@ -95,7 +96,8 @@
 	}
 	for _, r := range c.Rules {
 		if _, found := c.Service(r.Service); !found {
-			return ErrInvalid.New("Rule %q names service %q, which is not in force; add [Service %s] or withdraw the rule", r.Name, r.Service, r.Service)
+			return ErrInvalid.New("Rule %q names service %q, which is not in the configuration; add [Service %s] or withdraw the rule",
+				r.Name, r.Service, r.Service)
 		}
 	}
 	return nil
--- a/internal/note/record.go
+++ b/internal/note/record.go
@@ -39,7 +39,8 @@
 // Check returns ErrChain unless the configuration matches the hash in the record.
 func (s Snapshot) Check() error {
 	if s.Configuration.Number != s.Record.Number || s.Configuration.Hash() != s.Record.Configuration {
-		return ErrChain.New("the configuration in the snapshot of note %d does not match the hash in its record; read the chain from the store", s.Record.Number)
+		return ErrChain.New("the configuration in the snapshot of note %d does not match the hash in its record; read the chain from the store",
+			s.Record.Number)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -202,7 +202,8 @@
 			return d.FieldError(a.section, a.key, "has value \""+a.value+"\"; write an IP address and port such as 127.0.0.1:8080")
 		}
 	}
-	for _, a := range []struct{ key, value string }{{"Announced", s.Host.Announced}, {"Ready", s.Host.Ready}, {"Directory", s.Host.Directory}, {"Metrics", s.Host.Metrics}} {
+	for _, a := range []struct{ key, value string }{
+		{"Announced", s.Host.Announced}, {"Ready", s.Host.Ready}, {"Directory", s.Host.Directory}, {"Metrics", s.Host.Metrics}} {
 		if a.value != "" && !isAddress(a.value) {
 			return d.FieldError("Host", a.key, "has value \""+a.value+"\"; write an IP address and port such as 127.0.0.1:8080")
 		}
