--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -109,7 +109,7 @@
 				case err == nil:
 					accepted[r.Number] = r.Hash()
 				case follows == head || !errorx.IsOfType(err, ErrConflict):
-					t.Fatalf("publishing a note that follows %d after note %d returned %v", follows, head, err)
+					t.Fatalf("Publish returned an unexpected error: %v", err)
 				}
 			},
 			"read store": func(t *rapid.T) {
