--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -140,7 +140,7 @@
 					}
 					highest[i] = head.Number
 					if head.Number > 0 && (accepted[head.Number] != hash || len(configuration.Services) != head.Number) {
-						t.Fatalf("note %d of host %d differs from the published one", head.Number, i)
+						t.Fatalf("host %d holds a note %d that differs from the published one", i, head.Number)
 					}
 				}
 			},
