--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,4 +1,5 @@
-// Package document decodes strict INI files into plain structs, with errors that name file, line, section, key and remedy.
+// Package document decodes INI files into structs. It is strict: unknown, repeated, missing and invalid sections and keys
+// are errors that name the file, the line, the section, the key and what is allowed.
 package document
 
 import (
@@ -21,7 +22,7 @@
 	ini   *ini.File
 }
 
-// Parse reads INI text; file is the name used in errors.
+// Parse parses INI text; file is the name used in errors, which are ErrSyntax or ErrField.
 func Parse(file string, text []byte) (*Document, error) {
 	options := ini.LoadOptions{
 		AllowShadows:               true,
@@ -71,27 +72,29 @@
 		}
 		if s == nil || !s.HasKey(field.Name) {
 			if field.Tag.Get("required") == "true" {
-				return d.Fail(section, field.Name, "is missing; add it")
+				return d.FieldError(section, field.Name, "is missing; add it")
 			}
 			continue
 		}
-		if err := d.set(section, field, value.Field(i), strings.TrimSpace(s.Key(field.Name).Value())); err != nil {
+		if err := d.setField(section, field, value.Field(i), strings.TrimSpace(s.Key(field.Name).Value())); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Fail returns an ErrField that names the file, line, section and key; remedy says what is wrong and what is allowed.
-func (d *Document) Fail(section, key, remedy string) error {
-	where := fmt.Sprintf("%s:%d: section [%s]", d.file, d.Line(section, key), section)
+// FieldError returns an ErrField that names the file, line, section and key; key is empty for an error about the section.
+// The problem follows them in the message and says what is wrong and what is allowed.
+func (d *Document) FieldError(section, key, problem string) error {
+	location := fmt.Sprintf("%s:%d: section [%s]", d.file, d.Line(section, key), section)
 	if key != "" {
-		where += " key " + key
+		location += " key " + key
 	}
-	return ErrField.New("%s %s", where, remedy)
+	return ErrField.New("%s %s", location, problem)
 }
 
-// Line returns the 1-based line of a key, or of its section header when the key is absent, or 1.
+// Line returns the line number of a key, or of the section's header if the key is absent, or 1 if the section is absent
+// too.
 func (d *Document) Line(section, key string) int {
 	current, header := ini.DefaultSection, 1
 	for i, line := range d.lines {
@@ -114,7 +117,7 @@
 	for _, s := range d.ini.Sections() {
 		for _, k := range s.Keys() {
 			if len(k.ValueWithShadows()) > 1 {
-				return d.Fail(s.Name(), k.Name(), "is given more than once; keep one of them")
+				return d.FieldError(s.Name(), k.Name(), "is given more than once; keep one of them")
 			}
 		}
 	}
@@ -125,7 +128,7 @@
 		}
 		name := strings.TrimSpace(line[1:strings.Index(line, "]")])
 		if seen[name] {
-			return d.Fail(name, "", "is given more than once; merge the two sections")
+			return d.FieldError(name, "", "is given more than once; merge the two sections")
 		}
 		seen[name] = true
 	}
@@ -137,33 +140,34 @@
 	if err != nil {
 		return nil
 	}
-	var known []string
+	var allowed []string
 	for i := range t.NumField() {
 		if t.Field(i).Tag.Get("ini") != "-" {
-			known = append(known, t.Field(i).Name)
+			allowed = append(allowed, t.Field(i).Name)
 		}
 	}
 	for _, k := range s.Keys() {
-		if !slices.Contains(known, k.Name()) {
-			return d.Fail(section, k.Name(), "is unknown; allowed keys: "+strings.Join(known, ", "))
+		if !slices.Contains(allowed, k.Name()) {
+			return d.FieldError(section, k.Name(), "is unknown; allowed keys: "+strings.Join(allowed, ", "))
 		}
 	}
 	return nil
 }
 
-func (d *Document) set(section string, field reflect.StructField, value reflect.Value, text string) error {
+func (d *Document) setField(section string, field reflect.StructField, value reflect.Value, text string) error {
 	if allowed := field.Tag.Get("allowed"); allowed != "" && !slices.Contains(strings.Split(allowed, "|"), text) {
-		return d.Fail(section, field.Name, fmt.Sprintf("has value %q; allowed: %s", text, strings.ReplaceAll(allowed, "|", ", ")))
+		return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; allowed: %s", text, strings.ReplaceAll(allowed, "|", ", ")))
 	}
-	remedy := assign(value, text)
+	remedy := parseInto(value, text)
 	if remedy == "" {
 		return nil
 	}
-	return d.Fail(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
+	return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
 }
 
-// assign stores text in value by the value's type and returns a remedy when text does not fit.
-func assign(value reflect.Value, text string) string {
+// parseInto parses text by the type of value and stores the result there. If the text is invalid, it returns what to write
+// instead.
+func parseInto(value reflect.Value, text string) string {
 	switch value.Interface().(type) {
 	case string:
 		value.SetString(text)
@@ -194,14 +198,14 @@
 	case []string:
 		value.Set(reflect.ValueOf(splitList(text)))
 	case []int:
-		return assignInts(value, text)
+		return parseInts(value, text)
 	default:
 		return "this build cannot read a key of type " + value.Type().String()
 	}
 	return ""
 }
 
-func assignInts(value reflect.Value, text string) string {
+func parseInts(value reflect.Value, text string) string {
 	var list []int
 	for _, part := range splitList(text) {
 		n, err := strconv.Atoi(part)
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -65,7 +65,7 @@
 }
 
 func (h *Host) heartbeatRequest(update host.Gossip) *inner.HeartbeatRequest {
-	request := inner.Request(h.Name(), update)
+	request := inner.NewHeartbeatRequest(h.Name(), update)
 	request.Quarantines = h.quarantinesToWire()
 	return request
 }
@@ -79,7 +79,7 @@
 func (h *Host) handlePeerState(sender string, members []*inner.Member, quarantines []*inner.Quarantine) {
 	h.quarantine.Merge(h.now(), quarantinesFromWire(quarantines))
 	h.peersCompared.Store(true)
-	if m, newer := inner.Ahead(sender, members, h.chain.Number()); newer {
+	if m, newer := inner.SenderWithNewerNote(sender, members, h.chain.Number()); newer {
 		h.noteHints.Push(noteHint{m.Inner, m.Note})
 	}
 	if h.chain.Number() > 0 && !h.membership.Self().Ready {
@@ -99,7 +99,7 @@
 // recordMembership adds records of the changes in the membership and of the homes that moved by them.
 func (h *Host) recordMembership() {
 	for _, e := range h.membership.DrainEvents() {
-		h.records.Add(record.OfMembership(e, h.chain.Number()))
+		h.records.Add(record.FromMembershipEvent(e, h.chain.Number()))
 	}
 	h.recordHomeMoves()
 }
--- a/internal/entry/explain_test.go
+++ b/internal/entry/explain_test.go
@@ -55,7 +55,7 @@
 		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), isForgotten)) // also recorded by a host without requests
 		targetCounts := map[int]bool{}
 		for _, i := range observations {
-			f.is.Equal(record.Eligible(records, "s", i.at), i.names) // eligible targets according to the records
+			f.is.Equal(record.EligibleTargets(records, "s", i.at), i.names) // eligible targets according to the records
 			targetCounts[len(i.names)] = true
 		}
 		f.is.True(len(targetCounts) >= 3) // the set of eligible targets has changed twice
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -85,7 +85,7 @@
 	tableAssembler *tableAssembler
 	quarantine     *claim.Quarantine
 	plainKeys      *plainKeyStore
-	records        *record.Book
+	records        *record.Log
 	histograms     *meter.Histograms
 	budget         *meter.Budget
 	client         *inner.Client
@@ -171,7 +171,7 @@
 		h.callerTLS = files.Callers()
 	}
 	var closeBook, closeClient, closeSteering func()
-	h.records, closeBook = record.New(record.Config{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
+	h.records, closeBook = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
 	h.client, closeClient = inner.NewClient(inner.ClientConfig{TLS: h.peerTLS, Dial: h.config.Dial})
 	h.dispatcher, closeSteering = steering.New(steering.Config{
 		Records: h.records, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.triggerHeartbeat, Dial: h.config.Dial,
@@ -197,7 +197,7 @@
 		},
 		Seeds: s.Peers.Seeds, DomainFanOut: heartbeatPeersPerDomain, Random: rand.New(rand.NewPCG(h.incarnation, 2)),
 	})
-	h.heartbeats = &inner.Heartbeats{Table: h.membership, Client: h.client, Now: h.now, Request: h.heartbeatRequest, Heard: h.handleHeartbeatReply}
+	h.heartbeats = &inner.Heartbeats{Table: h.membership, Client: h.client, Now: h.now, NewRequest: h.heartbeatRequest, OnReply: h.handleHeartbeatReply}
 	h.callerServer = h.newCallerServer()
 	return func() {
 		closeSteering()
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -184,14 +184,14 @@
 	request.Headers = append(request.Headers, &inner.Header{Name: headerForwardedKey, Value: key.String()})
 	for _, address := range h.grantHolderAddresses(key.Grant) {
 		for range forwardAttempts {
-			reply, err := h.client.PassOn(ctx, address, request)
+			reply, err := h.client.Forward(ctx, address, request)
 			if err == nil && reply.Status == statusUnknownGrant {
 				break
 			}
 			if err == nil {
 				return forwardedResponse(reply)
 			}
-			if ctx.Err() != nil || !errorx.IsOfType(err, inner.ErrSilent) && !errorx.IsOfType(err, inner.ErrPeer) {
+			if ctx.Err() != nil || !errorx.IsOfType(err, inner.ErrStreamTimeout) && !errorx.IsOfType(err, inner.ErrPeerFailed) {
 				break
 			}
 		}
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -67,7 +67,7 @@
 // fetchNotes fetches newer notes from the peer at an address and puts them in force.
 func (h *Host) fetchNotes(ctx context.Context, address string) {
 	previous := h.chain.Number()
-	reply, err := h.client.Notes(ctx, address, previous)
+	reply, err := h.client.FetchNotes(ctx, address, previous)
 	if err != nil {
 		return
 	}
@@ -85,7 +85,7 @@
 		if err := json.Unmarshal(reply.Snapshot, &s); err != nil {
 			return note.ErrChain.New("cannot decode the snapshot that the peer sent: %v", err)
 		}
-		if _, err := chain.AdoptSnapshot(s); err != nil {
+		if _, err := chain.ApplySnapshot(s); err != nil {
 			return err
 		}
 	}
@@ -94,7 +94,7 @@
 		if err := json.Unmarshal(text, &r); err != nil {
 			return note.ErrChain.New("cannot decode a record that the peer sent: %v", err)
 		}
-		if _, err := chain.Adopt(r); err != nil {
+		if _, err := chain.Apply(r); err != nil {
 			return err
 		}
 	}
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -31,7 +31,7 @@
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	h := p.host
 	h.handlePeerState(r.Sender, r.Members, r.Quarantines)
-	reply := inner.Answer(h.membership, h.now(), r)
+	reply := inner.HandleHeartbeat(h.membership, h.now(), r)
 	reply.Quarantines = h.quarantinesToWire()
 	return reply, nil
 }
@@ -69,7 +69,7 @@
 	defer cancel()
 	replies := make(chan *inner.PassReply, 1)
 	go func() { replies <- p.runForwarded(ctx, r) }()
-	keepAlive := time.NewTicker(inner.AliveEvery)
+	keepAlive := time.NewTicker(inner.KeepAliveInterval)
 	defer keepAlive.Stop()
 	for {
 		select {
@@ -171,7 +171,7 @@
 	remaining := time.Duration(r.RemainingMilliseconds) * time.Millisecond
 	sealedAt := time.Duration(r.SealedAtMilliseconds) * time.Millisecond
 	if !p.host.sealedTables.Add(p.host.now(), claim.Handover{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Retention: remaining, Entries: entries}) {
-		return nil, inner.ErrPeer.New("host %s has no room for the sealed idempotency table of host %s", p.host.Name(), r.Host)
+		return nil, inner.ErrPeerFailed.New("host %s has no room for the sealed idempotency table of host %s", p.host.Name(), r.Host)
 	}
 	return &inner.SealReply{}, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -107,7 +107,7 @@
 	logger      zerolog.Logger
 	requestLog  *requestLog
 	// records are the change records for operators.
-	records *record.Book
+	records *record.Log
 	// chain is the sequence of notes that were in force.
 	chain *note.Chain
 	// roster is this host's replica of the store.
@@ -158,7 +158,7 @@
 	g.incarnation = uint64(g.start.UnixMilli())<<16 | uint64(rand.Uint32N(1<<16))
 	var closeRecords, closeClient, closeLog func()
 	g.requestLog, closeLog = newRequestLog(c.Logger)
-	g.records, closeRecords = record.New(record.Config{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: maxRecords, Logger: c.Logger})
+	g.records, closeRecords = record.NewLog(record.LogConfig{Host: c.Settings.Host.Name, Incarnation: g.incarnation, Capacity: maxRecords, Logger: c.Logger})
 	g.client, closeClient = inner.NewClient(inner.ClientConfig{Dial: c.Dial})
 	g.members = host.NewMemberTable(host.Config{
 		Self: host.Member{
@@ -167,9 +167,9 @@
 		},
 		Seeds: c.Settings.Peers.Seeds, DomainFanOut: heartbeatsPerDomain, Random: rand.New(rand.NewPCG(g.incarnation, 2)),
 	})
-	g.heartbeats = &inner.Heartbeats{Table: g.members, Client: g.client, Now: g.now, Request: func(n host.Gossip) *inner.HeartbeatRequest {
-		return inner.Request(c.Settings.Host.Name, n)
-	}, Heard: func(r *inner.HeartbeatReply) { g.queueIfAhead(r.Sender, r.Members) }}
+	g.heartbeats = &inner.Heartbeats{Table: g.members, Client: g.client, Now: g.now, NewRequest: func(n host.Gossip) *inner.HeartbeatRequest {
+		return inner.NewHeartbeatRequest(c.Settings.Host.Name, n)
+	}, OnReply: func(r *inner.HeartbeatReply) { g.queueIfAhead(r.Sender, r.Members) }}
 	var cancelBackground context.CancelFunc
 	g.background, cancelBackground = context.WithCancel(context.Background())
 	g.rules.Store(&ruleIndex{})
@@ -228,9 +228,9 @@
 	if c.Number <= old.Number {
 		return
 	}
-	difference := note.Difference(old, c)
+	difference := note.Diff(old, c)
 	snapshot := note.Snapshot{Record: note.Record{Number: c.Number, Configuration: c.Hash(), Note: difference}, Configuration: c}
-	if _, err := g.chain.AdoptSnapshot(snapshot); err != nil {
+	if _, err := g.chain.ApplySnapshot(snapshot); err != nil {
 		g.records.Add(record.Record{Kind: record.NoteRejected, Cause: "Snapshot", Note: c.Number, Evidence: record.Evidence{Detail: err.Error()}})
 		return
 	}
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -237,7 +237,7 @@
 		sess.deliverLocal(r.ID.Number, v)
 		return
 	}
-	if !sess.verdicts.Push(inner.ToVerdict(r.ID.Number, v)) {
+	if !sess.verdicts.Push(inner.EncodeVerdict(r.ID.Number, v)) {
 		// A host that does not read its verdicts would keep the slots that they reserve until its requests time out.
 		s.gateway.stats.slowReaders.Add(1)
 		sess.disconnect()
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -237,11 +237,11 @@
 		// An idle home sends no keep-alive messages, so its silence is measured from the first waiting request.
 		h.lastReceived.Store(int64(h.client.gateway.now()))
 	}
-	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Ask: inner.ToAsk(h.client.gateway.now(), r)})
+	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Ask: inner.EncodePlaceAsk(h.client.gateway.now(), r)})
 }
 
 func (h *remoteHome) endRun(p *pendingRequest, d placement.RunEnd) {
-	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, End: inner.ToEnd(d)})
+	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, End: inner.EncodeRunEnd(d)})
 }
 
 func (h *remoteHome) verdictReceived() { h.waiting.Add(-1) }
@@ -309,12 +309,12 @@
 			return
 		}
 		h.lastReceived.Store(int64(h.client.gateway.now()))
-		v := inner.FromVerdict(message)
+		v := inner.DecodeVerdict(message)
 		if v == nil || h.client.deliver(message.Number, h, v) {
 			continue
 		}
 		if target, reserved := reservedTarget(v); reserved {
-			h.queueCall(&inner.PlaceCall{Number: message.Number, End: inner.ToEnd(placement.RunEnd{Target: target, Outcome: placement.OutcomeCanceled})})
+			h.queueCall(&inner.PlaceCall{Number: message.Number, End: inner.EncodeRunEnd(placement.RunEnd{Target: target, Outcome: placement.OutcomeCanceled})})
 		}
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -31,7 +31,7 @@
 // Heartbeat implements inner.DRPCPeerServer.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	p.gateway.queueIfAhead(r.Sender, r.Members)
-	return inner.Answer(p.gateway.members, p.gateway.now(), r), nil
+	return inner.HandleHeartbeat(p.gateway.members, p.gateway.now(), r), nil
 }
 
 // Place implements inner.DRPCPeerServer: it places requests of the host at the other end of the stream.
@@ -69,11 +69,11 @@
 		id := placement.RequestID{Stream: sess.id, Number: call.Number}
 		switch {
 		case call.Ask != nil:
-			homes.place(call.Service, inner.FromAsk(p.gateway.now(), id, call.Ask))
+			homes.place(call.Service, inner.DecodePlaceAsk(p.gateway.now(), id, call.Ask))
 		case call.End != nil && call.Service == "":
-			homes.runEndedAnyService(inner.FromEnd(id, call.End))
+			homes.runEndedAnyService(inner.DecodeRunEnd(id, call.End))
 		case call.End != nil:
-			homes.runEnded(call.Service, inner.FromEnd(id, call.End))
+			homes.runEnded(call.Service, inner.DecodeRunEnd(id, call.End))
 		case call.Withdraw:
 			homes.withdraw(call.Service, id)
 		}
@@ -159,7 +159,7 @@
 			return err
 		}
 	}
-	return inner.ErrPeer.New("host %s dropped a follower of the store that read too slowly; it must follow again from the start", g.settings.Host.Name)
+	return inner.ErrPeerFailed.New("host %s dropped a follower of the store that read too slowly; it must follow again from the start", g.settings.Host.Name)
 }
 
 func toFollowReply(u storeUpdate) *inner.FollowStoreReply {
@@ -210,6 +210,6 @@
 // recordMembershipChanges writes a change record for each change of the membership.
 func (g *Gateway) recordMembershipChanges() {
 	for _, e := range g.members.DrainEvents() {
-		g.records.Add(record.OfMembership(e, g.chain.Number()))
+		g.records.Add(record.FromMembershipEvent(e, g.chain.Number()))
 	}
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -292,7 +292,7 @@
 
 // queueIfAhead queues the sender of a heartbeat or its reply for runCatchUp if it has a newer note than this host.
 func (g *Gateway) queueIfAhead(sender string, members []*inner.Member) {
-	if m, ahead := inner.Ahead(sender, members, g.chain.Number()); ahead {
+	if m, ahead := inner.SenderWithNewerNote(sender, members, g.chain.Number()); ahead {
 		g.peersAhead.Push(m)
 	}
 }
--- a/internal/inner/members.go
+++ b/internal/inner/members.go
@@ -2,31 +2,31 @@
 
 import "briarcroft/internal/host"
 
-// ToMembers encodes members.
-func ToMembers(members []host.Member) []*Member {
+// EncodeMembers converts members to wire messages.
+func EncodeMembers(members []host.Member) []*Member {
 	list := make([]*Member, 0, len(members))
 	for _, m := range members {
 		list = append(list, &Member{
 			Name: m.Name, Listen: m.Listen, Inner: m.Inner, Domain: m.Domain, Region: m.Region, Incarnation: m.Incarnation,
-			Beat: m.Beat, Leaving: m.Leaving, Note: int64(m.Note), Ready: m.Ready, Wants: toWants(m.Wants), StoreLost: m.StoreLost,
+			Beat: m.Beat, Leaving: m.Leaving, Note: int64(m.Note), Ready: m.Ready, Wants: encodeWants(m.Wants), StoreLost: m.StoreLost,
 		})
 	}
 	return list
 }
 
-// FromMembers decodes members.
-func FromMembers(members []*Member) []host.Member {
+// DecodeMembers converts wire messages to members.
+func DecodeMembers(members []*Member) []host.Member {
 	list := make([]host.Member, 0, len(members))
 	for _, m := range members {
 		list = append(list, host.Member{
 			Name: m.Name, Listen: m.Listen, Inner: m.Inner, Domain: m.Domain, Region: m.Region, Incarnation: m.Incarnation,
-			Beat: m.Beat, Leaving: m.Leaving, Note: int(m.Note), Ready: m.Ready, Wants: fromWants(m.Wants), StoreLost: m.StoreLost,
+			Beat: m.Beat, Leaving: m.Leaving, Note: int(m.Note), Ready: m.Ready, Wants: decodeWants(m.Wants), StoreLost: m.StoreLost,
 		})
 	}
 	return list
 }
 
-func toWants(wants []host.HomeDemand) []*Want {
+func encodeWants(wants []host.HomeDemand) []*Want {
 	var list []*Want
 	for _, w := range wants {
 		list = append(list, &Want{Service: w.Service, Homes: uint32(w.Homes)})
@@ -34,7 +34,7 @@
 	return list
 }
 
-func fromWants(wants []*Want) []host.HomeDemand {
+func decodeWants(wants []*Want) []host.HomeDemand {
 	var list []host.HomeDemand
 	for _, w := range wants {
 		list = append(list, host.HomeDemand{Service: w.Service, Homes: int(w.Homes)})
@@ -42,17 +42,17 @@
 	return list
 }
 
-// ToPulses encodes pulses.
-func ToPulses(pulses []host.Digest) []*Pulse {
-	list := make([]*Pulse, 0, len(pulses))
-	for _, p := range pulses {
-		list = append(list, &Pulse{Id: uint32(p.Hash), Beat: p.Beat})
+// EncodeDigests converts member digests to wire messages; a digest is called a pulse on the wire.
+func EncodeDigests(digests []host.Digest) []*Pulse {
+	list := make([]*Pulse, 0, len(digests))
+	for _, d := range digests {
+		list = append(list, &Pulse{Id: uint32(d.Hash), Beat: d.Beat})
 	}
 	return list
 }
 
-// FromPulses decodes pulses.
-func FromPulses(pulses []*Pulse) []host.Digest {
+// DecodeDigests converts wire messages to member digests.
+func DecodeDigests(pulses []*Pulse) []host.Digest {
 	list := make([]host.Digest, 0, len(pulses))
 	for _, p := range pulses {
 		list = append(list, host.Digest{Hash: host.MemberHash(p.Id), Beat: p.Beat})
@@ -60,20 +60,20 @@
 	return list
 }
 
-// ToIDs encodes the pulses that were not understood.
-func ToIDs(ids []host.MemberHash) []uint32 {
-	list := make([]uint32, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, uint32(id))
+// EncodeMemberHashes converts the hashes of digests that match no known member to their wire form.
+func EncodeMemberHashes(hashes []host.MemberHash) []uint32 {
+	list := make([]uint32, 0, len(hashes))
+	for _, hash := range hashes {
+		list = append(list, uint32(hash))
 	}
 	return list
 }
 
-// FromIDs decodes the pulses that were not understood.
-func FromIDs(ids []uint32) []host.MemberHash {
-	list := make([]host.MemberHash, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, host.MemberHash(id))
+// DecodeMemberHashes converts the hashes of digests that match no known member from their wire form.
+func DecodeMemberHashes(hashes []uint32) []host.MemberHash {
+	list := make([]host.MemberHash, 0, len(hashes))
+	for _, hash := range hashes {
+		list = append(list, host.MemberHash(hash))
 	}
 	return list
 }
--- a/internal/inner/verdict.go
+++ b/internal/inner/verdict.go
@@ -6,13 +6,14 @@
 	"briarcroft/internal/placement"
 )
 
-// ToVerdict encodes a home's verdict on the request of that number.
-func ToVerdict(number uint64, v placement.Verdict) *PlaceVerdict {
+// EncodeVerdict converts a home's verdict on a request to its wire message. The number identifies the request on its
+// placement stream.
+func EncodeVerdict(number uint64, v placement.Verdict) *PlaceVerdict {
 	switch v := v.(type) {
 	case placement.Placed:
-		return toPlaced(number, VerdictKind_Placed, v)
+		return encodePlaced(number, VerdictKind_Placed, v)
 	case placement.Hedge:
-		return toPlaced(number, VerdictKind_Hedge, placement.Placed(v))
+		return encodePlaced(number, VerdictKind_Hedge, placement.Placed(v))
 	case placement.Refused:
 		return &PlaceVerdict{
 			Number: number, Kind: VerdictKind_Refused, Reason: string(v.Reason), RetryAfterMicroseconds: v.RetryAfter.Microseconds(),
@@ -22,20 +23,20 @@
 	return &PlaceVerdict{Number: number, Kind: VerdictKind_Queued}
 }
 
-func toPlaced(number uint64, kind VerdictKind, p placement.Placed) *PlaceVerdict {
+func encodePlaced(number uint64, kind VerdictKind, p placement.Placed) *PlaceVerdict {
 	return &PlaceVerdict{
 		Number: number, Kind: kind, Target: p.Target, Address: p.Address,
 		ExpectedMicroseconds: p.Expected.Microseconds(), KnowledgeAgeMicroseconds: p.KnowledgeAge.Microseconds(),
 	}
 }
 
-// FromVerdict decodes a home's verdict; it returns nil for one that only shows that the home still listens.
-func FromVerdict(wire *PlaceVerdict) placement.Verdict {
+// DecodeVerdict converts a wire message to a home's verdict; it returns nil for a keep-alive message.
+func DecodeVerdict(wire *PlaceVerdict) placement.Verdict {
 	switch wire.Kind {
 	case VerdictKind_Placed:
-		return fromPlaced(wire)
+		return decodePlaced(wire)
 	case VerdictKind_Hedge:
-		return placement.Hedge(fromPlaced(wire))
+		return placement.Hedge(decodePlaced(wire))
 	case VerdictKind_Queued:
 		return placement.Queued{}
 	case VerdictKind_Refused:
@@ -47,15 +48,16 @@
 	return nil
 }
 
-func fromPlaced(wire *PlaceVerdict) placement.Placed {
+func decodePlaced(wire *PlaceVerdict) placement.Placed {
 	return placement.Placed{
 		Target: wire.Target, Address: wire.Address,
 		Expected: microseconds(wire.ExpectedMicroseconds), KnowledgeAge: microseconds(wire.KnowledgeAgeMicroseconds),
 	}
 }
 
-// ToAsk encodes a request for a place; the times left count from now.
-func ToAsk(now time.Duration, r *placement.Request) *PlaceAsk {
+// EncodePlaceAsk converts a placement request to its wire message. Goal and deadline become durations from now, because
+// the clocks of two hosts differ.
+func EncodePlaceAsk(now time.Duration, r *placement.Request) *PlaceAsk {
 	return &PlaceAsk{
 		Class: r.Class, Priority: uint32(r.Priority), GoalMicroseconds: (r.Goal - now).Microseconds(),
 		DeadlineMicroseconds: (r.Deadline - now).Microseconds(), Repeatable: r.Repeatable, Tried: r.Tried,
@@ -63,8 +65,8 @@
 	}
 }
 
-// FromAsk decodes a request for a place that came now.
-func FromAsk(now time.Duration, id placement.RequestID, wire *PlaceAsk) *placement.Request {
+// DecodePlaceAsk converts a wire message that was received at now to a placement request with times on this host's clock.
+func DecodePlaceAsk(now time.Duration, id placement.RequestID, wire *PlaceAsk) *placement.Request {
 	return &placement.Request{
 		ID: id, Class: wire.Class, Priority: int(wire.Priority), Goal: now + microseconds(wire.GoalMicroseconds),
 		Deadline: now + microseconds(wire.DeadlineMicroseconds), Repeatable: wire.Repeatable, Tried: wire.Tried,
@@ -72,22 +74,22 @@
 	}
 }
 
-// ToEnd encodes the end of a run.
-func ToEnd(d placement.RunEnd) *RunEnd {
-	wire := &RunEnd{Target: d.Target, Outcome: uint32(d.Outcome), TookMicroseconds: d.Duration.Microseconds(), Bytes: uint32(d.Bytes)}
-	if l := d.Load; l != nil {
+// EncodeRunEnd converts the end of a run, which is one attempt of a request on a target, to its wire message.
+func EncodeRunEnd(end placement.RunEnd) *RunEnd {
+	wire := &RunEnd{Target: end.Target, Outcome: uint32(end.Outcome), TookMicroseconds: end.Duration.Microseconds(), Bytes: uint32(end.Bytes)}
+	if l := end.Load; l != nil {
 		wire.Load = &TargetLoad{Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots), Pace: l.Pace}
 	}
 	return wire
 }
 
-// FromEnd decodes the end of a run.
-func FromEnd(id placement.RequestID, wire *RunEnd) placement.RunEnd {
-	d := placement.RunEnd{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Duration: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
+// DecodeRunEnd converts a wire message to the end of a run of the request with the given ID.
+func DecodeRunEnd(id placement.RequestID, wire *RunEnd) placement.RunEnd {
+	end := placement.RunEnd{ID: id, Target: wire.Target, Outcome: placement.Outcome(wire.Outcome), Duration: microseconds(wire.TookMicroseconds), Bytes: int(wire.Bytes)}
 	if l := wire.Load; l != nil {
-		d.Load = &placement.LoadReport{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
+		end.Load = &placement.LoadReport{Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots), Pace: l.Pace}
 	}
-	return d
+	return end
 }
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -11,29 +11,30 @@
 	"github.com/joomcode/errorx"
 )
 
-// snapshotEvery is the number of notes between two snapshots in the store.
-const snapshotEvery = 16
+// snapshotInterval is the number of notes after which the snapshot in the store is replaced.
+const snapshotInterval = 16
 
-// rangeLimit is the most records read from the store in one call.
-const rangeLimit = 128
+// rangePageSize is the maximum number of records that one call reads from the store.
+const rangePageSize = 128
 
-// defaultRetryPause is the time between two attempts to settle whether a note was accepted.
+// defaultRetryPause is the time between two attempts to write a record that the store has not confirmed.
 const defaultRetryPause = 200 * time.Millisecond
 
-// Archive is the chain of accepted notes as the store holds it.
+// Archive reads, extends and verifies the chain of published notes in the store.
 type Archive struct {
-	store platform.Store
-	pause time.Duration
+	store      platform.Store
+	retryPause time.Duration
 }
 
-// ArchiveConfig names the store.
+// ArchiveConfig configures an Archive.
 type ArchiveConfig struct {
 	Store platform.Store
-	// RetryPause is the time between two attempts to settle a publication; zero means the default.
+	// RetryPause is the time between two attempts to write a record that the store has not confirmed; zero means the
+	// default.
 	RetryPause time.Duration
 }
 
-// NewArchive returns the store's chain.
+// NewArchive returns the archive in a store.
 func NewArchive(c ArchiveConfig) *Archive {
 	if c.RetryPause == 0 {
 		c.RetryPause = defaultRetryPause
@@ -41,7 +42,7 @@
 	return &Archive{c.Store, c.RetryPause}
 }
 
-// CatchUp brings a chain up to the store's newest note, from a snapshot when it is far behind.
+// CatchUp applies the store's newer records to a chain, starting from the snapshot if the chain is far behind.
 // A stale read leaves the chain as it is. Errors are platform.ErrUnavailable or ErrChain.
 func (a *Archive) CatchUp(ctx context.Context, chain *Chain) error {
 	last, found, err := a.store.Last(ctx, KeyPrefix)
@@ -52,20 +53,20 @@
 	if err := decode(last.Value, &newest); err != nil {
 		return err
 	}
-	if newest.Number-chain.Number() > snapshotEvery {
-		if err := a.adoptSnapshot(ctx, chain); err != nil {
+	if newest.Number-chain.Number() > snapshotInterval {
+		if err := a.applySnapshot(ctx, chain); err != nil {
 			return err
 		}
 	}
 	for chain.Number() < newest.Number {
-		if err := a.adoptPage(ctx, chain); err != nil {
+		if err := a.applyPage(ctx, chain); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *Archive) adoptSnapshot(ctx context.Context, chain *Chain) error {
+func (a *Archive) applySnapshot(ctx context.Context, chain *Chain) error {
 	entry, found, err := a.store.Get(ctx, SnapshotKey)
 	if err != nil || !found {
 		return err
@@ -74,24 +75,24 @@
 	if err := decode(entry.Value, &s); err != nil {
 		return err
 	}
-	_, err = chain.AdoptSnapshot(s)
+	_, err = chain.ApplySnapshot(s)
 	return err
 }
 
-func (a *Archive) adoptPage(ctx context.Context, chain *Chain) error {
-	entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangeLimit)
+func (a *Archive) applyPage(ctx context.Context, chain *Chain) error {
+	entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangePageSize)
 	if err != nil {
 		return err
 	}
 	if len(entries) == 0 {
-		return ErrChain.New("note %d is missing from the store; its read was stale, read again", chain.Number()+1)
+		return ErrChain.New("note %d is missing from what the store returned; that read was stale, read again", chain.Number()+1)
 	}
 	for _, entry := range entries {
 		var r Record
 		if err := decode(entry.Value, &r); err != nil {
 			return err
 		}
-		if _, err := chain.Adopt(r); err != nil {
+		if _, err := chain.Apply(r); err != nil {
 			return err
 		}
 	}
@@ -105,8 +106,10 @@
 	return nil
 }
 
-// Publish accepts a note by one compare-and-swap.
-// Errors are ErrInvalid, ErrConflict, ErrUnknown, ErrChain or platform.ErrUnavailable; only after ErrUnknown may the note be in force.
+// Publish stores a note as the next record of the chain; the nonce tells the record from others with the same content.
+// The record's key is created atomically if it is absent, so that one of several concurrent publications succeeds.
+// Errors are ErrInvalid, ErrConflict, ErrOutcomeUnknown, ErrChain or platform.ErrUnavailable; the note can be in force
+// only after ErrOutcomeUnknown.
 func (a *Archive) Publish(ctx context.Context, n Note, nonce string, now time.Time) (Record, error) {
 	chain := &Chain{}
 	if err := a.CatchUp(ctx, chain); err != nil {
@@ -114,9 +117,9 @@
 	}
 	head, headHash, configuration := chain.Head()
 	if n.Follows != head.Number {
-		return Record{}, conflict(n, head)
+		return Record{}, conflictError(n, head)
 	}
-	next, err := configuration.Fold(n)
+	next, err := configuration.Apply(n)
 	if err != nil {
 		return Record{}, err
 	}
@@ -124,19 +127,19 @@
 	if err := a.create(ctx, r); err != nil {
 		return Record{}, err
 	}
-	if r.Number%snapshotEvery == 0 {
+	if r.Number%snapshotInterval == 0 {
 		a.writeSnapshot(ctx, Snapshot{r, next})
 	}
 	return r, nil
 }
 
-func conflict(n Note, winner Record) error {
+func conflictError(n Note, winner Record) error {
 	return ErrConflict.New("the note follows %d but note %d by %s (%q) is the newest; read it, set Follows = %d and publish again",
 		n.Follows, winner.Number, winner.Note.Operator, winner.Note.Reason, winner.Number)
 }
 
-// create writes the record's key until the store says who holds it.
-// Repeating it is safe: the key is written once, and the nonce tells whose record it holds.
+// create tries to create the record's key until the store confirms which record the key holds.
+// Retries are safe: the key is created only once, and the nonce shows whether it holds this record or another one.
 func (a *Archive) create(ctx context.Context, r Record) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -145,17 +148,18 @@
 	for {
 		result, err := a.store.Create(ctx, Key(r.Number), value, 0)
 		if err == nil {
-			return settle(r, value, result)
+			return checkCreated(r, value, result)
 		}
 		select {
-		case <-time.After(a.pause):
+		case <-time.After(a.retryPause):
 		case <-ctx.Done():
-			return ErrUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again", r.Number, err, r.Number, r.Nonce)
+			return ErrOutcomeUnknown.New("the store did not confirm note %d (%v); run status and see whether note %d has nonce %s before publishing again",
+				r.Number, err, r.Number, r.Nonce)
 		}
 	}
 }
 
-func settle(r Record, value []byte, result platform.CreateResult) error {
+func checkCreated(r Record, value []byte, result platform.CreateResult) error {
 	if result.Won || bytes.Equal(result.Existing.Value, value) {
 		return nil
 	}
@@ -163,10 +167,11 @@
 	if err := decode(result.Existing.Value, &winner); err != nil {
 		return err
 	}
-	return conflict(r.Note, winner)
+	return conflictError(r.Note, winner)
 }
 
-// writeSnapshot replaces the stored snapshot with a newer one; a failure only makes starts slower.
+// writeSnapshot replaces the stored snapshot with a newer one. Errors are ignored, because without a snapshot hosts only
+// take longer to start.
 func (a *Archive) writeSnapshot(ctx context.Context, s Snapshot) {
 	value, err := json.Marshal(s)
 	if err != nil {
@@ -183,13 +188,13 @@
 	_, _ = a.store.Swap(ctx, SnapshotKey, value, entry.Revision)
 }
 
-// Walk checks the whole chain in the store from the first note on, and returns its head and the hash of every record.
-// Errors are platform.ErrUnavailable, or ErrChain together with the last record that is in order.
-func (a *Archive) Walk(ctx context.Context) (Record, map[int]string, error) {
+// Verify checks every record in the store from the first note on, and returns the newest record and the hashes of all
+// records by number. Errors are platform.ErrUnavailable, or ErrChain together with the last valid record.
+func (a *Archive) Verify(ctx context.Context) (Record, map[int]string, error) {
 	chain := &Chain{}
 	hashes := map[int]string{}
 	for {
-		entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangeLimit)
+		entries, err := a.store.Range(ctx, KeyPrefix, Key(chain.Number()+1), rangePageSize)
 		head, _, _ := chain.Head()
 		if err != nil || len(entries) == 0 {
 			return head, hashes, err
@@ -202,7 +207,7 @@
 			if entry.Key != Key(r.Number) {
 				return head, hashes, ErrChain.New("key %s holds note %d; restore the key", entry.Key, r.Number)
 			}
-			if _, err := chain.Adopt(r); err != nil {
+			if _, err := chain.Apply(r); err != nil {
 				return head, hashes, err
 			}
 			head, hashes[r.Number], _ = chain.Head()
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -21,15 +21,16 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// fakeStore is the store's interface in memory, with unconfirmed writes.
+// fakeStore is a store in memory whose writes can go unconfirmed.
 type fakeStore struct {
 	platform.Store
 	keys map[string][]byte
-	// lose is how many writes take effect without a confirmation, and drop how many have no effect.
-	lose, drop int
+	// unconfirmedWrites is the number of next writes that take effect but return an error, and droppedWrites the number of
+	// next writes that return an error without effect.
+	unconfirmedWrites, droppedWrites int
 }
 
-func (s *fakeStore) sorted(prefix, from string) []platform.Entry {
+func (s *fakeStore) sortedEntries(prefix, from string) []platform.Entry {
 	var list []platform.Entry
 	for key, value := range s.keys {
 		if strings.HasPrefix(key, prefix) && key >= from {
@@ -46,12 +47,12 @@
 }
 
 func (s *fakeStore) Range(_ context.Context, prefix, from string, limit int) ([]platform.Entry, error) {
-	list := s.sorted(prefix, from)
+	list := s.sortedEntries(prefix, from)
 	return list[:min(limit, len(list))], nil
 }
 
 func (s *fakeStore) Last(_ context.Context, prefix string) (platform.Entry, bool, error) {
-	list := s.sorted(prefix, "")
+	list := s.sortedEntries(prefix, "")
 	if len(list) == 0 {
 		return platform.Entry{}, false, nil
 	}
@@ -59,17 +60,17 @@
 }
 
 func (s *fakeStore) Create(_ context.Context, key string, value []byte, _ platform.LeaseID) (platform.CreateResult, error) {
-	if s.drop > 0 {
-		s.drop--
+	if s.droppedWrites > 0 {
+		s.droppedWrites--
 		return platform.CreateResult{}, platform.ErrUnavailable.New("dropped")
 	}
 	existing, found := s.keys[key]
 	if !found {
 		s.keys[key] = value
 	}
-	if s.lose > 0 {
-		s.lose--
-		return platform.CreateResult{}, platform.ErrUnavailable.New("lost")
+	if s.unconfirmedWrites > 0 {
+		s.unconfirmedWrites--
+		return platform.CreateResult{}, platform.ErrUnavailable.New("unconfirmed")
 	}
 	return platform.CreateResult{Won: !found, Existing: platform.Entry{Key: key, Value: existing}}, nil
 }
@@ -79,106 +80,109 @@
 	return true, nil
 }
 
-func addition(follows int, name string) Note {
+func noteAddingService(follows int, name string) Note {
 	return Note{Follows: follows, Operator: "o", Reason: "r", Services: []Service{{Name: name, QueueLimit: 1, Homes: 1}}}
 }
 
-// TestNumbersNeverFall feeds hosts any mix of store reads, peers' records and snapshots, repeated, reordered and forged.
+// TestNumbersNeverFall checks that the note number of a host never decreases and that a host holds only published notes,
+// whatever the order in which it gets records and snapshots from the store and from peers, repeated or forged ones among
+// them. At the end every host catches up with the store.
 func TestNumbersNeverFall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{keys: map[string][]byte{}}
 		archive := NewArchive(ArchiveConfig{Store: store, RetryPause: time.Nanosecond})
 		hosts := []*Chain{{}, {}, {}}
 		accepted := map[int]string{}
-		floor := make([]int, len(hosts))
+		highest := make([]int, len(hosts))
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
-				store.lose = rapid.IntRange(0, 1).Draw(t, "lose")
+				store.unconfirmedWrites = rapid.IntRange(0, 1).Draw(t, "unconfirmed writes")
 				head := len(accepted)
 				follows := max(0, head-rapid.IntRange(0, 1).Draw(t, "behind"))
 				nonce := fmt.Sprint(rapid.Uint64().Draw(t, "nonce"))
 				ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 				defer cancel()
-				r, err := archive.Publish(ctx, addition(follows, fmt.Sprintf("s%d", head)), nonce, time.Unix(0, 0))
+				r, err := archive.Publish(ctx, noteAddingService(follows, fmt.Sprintf("s%d", head)), nonce, time.Unix(0, 0))
 				switch {
 				case err == nil && follows != head:
-					t.Fatalf("a note that follows %d was accepted after %d", follows, head)
+					t.Fatalf("a note that follows %d was accepted after note %d", follows, head)
 				case err == nil:
 					accepted[r.Number] = r.Hash()
 				case follows == head || !errorx.IsOfType(err, ErrConflict):
-					t.Fatalf("publish misreported: %v", err)
+					t.Fatalf("Publish returned an unexpected error: %v", err)
 				}
 			},
 			"read store": func(t *rapid.T) {
 				_ = archive.CatchUp(context.Background(), hosts[rapid.IntRange(0, 2).Draw(t, "host")])
 			},
-			"hear peer": func(t *rapid.T) {
+			"get peer notes": func(t *rapid.T) {
 				from, to := hosts[rapid.IntRange(0, 2).Draw(t, "from")], hosts[rapid.IntRange(0, 2).Draw(t, "to")]
 				snapshot, records := from.Since(rapid.IntRange(0, len(accepted)).Draw(t, "above"))
 				if snapshot != nil {
-					_, _ = to.AdoptSnapshot(*snapshot)
+					_, _ = to.ApplySnapshot(*snapshot)
 				}
 				for _, r := range records {
-					_, _ = to.Adopt(r)
+					_, _ = to.Apply(r)
 				}
 			},
-			"forge": func(t *rapid.T) {
+			"forge record": func(t *rapid.T) {
 				head, _, _ := hosts[0].Head()
-				forged := Record{Number: head.Number + 1, Previous: "forged", Note: addition(head.Number, "forged")}
-				if adopted, _ := hosts[0].Adopt(forged); adopted {
-					t.Fatal("a forged record was adopted")
+				forged := Record{Number: head.Number + 1, Previous: "forged", Note: noteAddingService(head.Number, "forged")}
+				if applied, _ := hosts[0].Apply(forged); applied {
+					t.Fatal("a forged record was applied")
 				}
 			},
 			"": func(t *rapid.T) {
 				for i, h := range hosts {
 					head, hash, configuration := h.Head()
-					if head.Number < floor[i] {
-						t.Fatalf("host %d fell from note %d to %d", i, floor[i], head.Number)
+					if head.Number < highest[i] {
+						t.Fatalf("host %d went back from note %d to %d", i, highest[i], head.Number)
 					}
-					floor[i] = head.Number
+					highest[i] = head.Number
 					if head.Number > 0 && (accepted[head.Number] != hash || len(configuration.Services) != head.Number) {
-						t.Fatalf("host %d has another note %d than was accepted", i, head.Number)
+						t.Fatalf("host %d holds a note %d that differs from the published one", i, head.Number)
 					}
 				}
 			},
 		})
 		for _, h := range hosts {
 			if err := archive.CatchUp(context.Background(), h); err != nil || h.Number() != len(accepted) {
-				t.Fatalf("a host ended at %d of %d: %v", h.Number(), len(accepted), err)
+				t.Fatalf("a host caught up to note %d of %d: %v", h.Number(), len(accepted), err)
 			}
 		}
 	})
 }
 
-// TestUnconfirmedPublishIsUnknown checks that a publish without any confirmation is neither accepted nor refused.
+// TestUnconfirmedPublishIsUnknown checks that a publication that the store never confirms is reported neither as a success
+// nor as a failure.
 func TestUnconfirmedPublishIsUnknown(t *testing.T) {
 	is := is.New(t)
-	store := &fakeStore{keys: map[string][]byte{}, drop: 1 << 30}
+	store := &fakeStore{keys: map[string][]byte{}, droppedWrites: 1 << 30}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err := NewArchive(ArchiveConfig{Store: store}).Publish(ctx, addition(0, "s"), "n", time.Unix(0, 0))
-	is.True(errorx.IsOfType(err, ErrUnknown))
+	_, err := NewArchive(ArchiveConfig{Store: store}).Publish(ctx, noteAddingService(0, "s"), "n", time.Unix(0, 0))
+	is.True(errorx.IsOfType(err, ErrOutcomeUnknown))
 }
 
-func TestWalkFindsTampering(t *testing.T) {
+func TestVerifyFindsTampering(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{keys: map[string][]byte{}}
 	archive := NewArchive(ArchiveConfig{Store: store})
 	for i := range 5 {
-		_, err := archive.Publish(context.Background(), addition(i, fmt.Sprint("s", i)), "n", time.Unix(0, 0))
+		_, err := archive.Publish(context.Background(), noteAddingService(i, fmt.Sprint("s", i)), "n", time.Unix(0, 0))
 		is.NoErr(err)
 	}
-	head, hashes, err := archive.Walk(context.Background())
+	head, hashes, err := archive.Verify(context.Background())
 	is.NoErr(err)
 	is.Equal(head.Number, 5)
 	is.Equal(len(hashes), 5)
 	store.keys[Key(3)] = []byte(strings.Replace(string(store.keys[Key(3)]), `"Reason":"r"`, `"Reason":"x"`, 1))
-	head, _, err = archive.Walk(context.Background())
+	head, _, err = archive.Verify(context.Background())
 	is.True(errorx.IsOfType(err, ErrChain))
-	is.Equal(head.Number, 3) // the record after the changed one does not follow it
+	is.Equal(head.Number, 3) // note 4 does not hold the hash of the changed record
 }
 
-func TestParseNamesLineAndRemedy(t *testing.T) {
+func TestParseErrorsNameLineAndRemedy(t *testing.T) {
 	head := "[Note]\nFollows = 0\nOperator = o\nReason = r\n"
 	cases := []struct{ name, text, want string }{
 		{"unknown key", head + "[Service s]\nQueue = 3\n", "n.ini:6: section [Service s] key Queue is unknown; allowed keys: QueueLimit"},
@@ -186,7 +190,7 @@
 		{"bad duration", head + "[Rule r]\nPath = /\nService = s\nDeadline = soon\n", "n.ini:8: section [Rule r] key Deadline has value \"soon\"; write a duration"},
 		{"negative duration", head + "[Rule r]\nPath = /\nService = s\nDeadline = -1s\n", "write a duration of zero or more"},
 		{"missing key", head + "[Target t]\nService = s\nDomain = a\n", "n.ini:5: section [Target t] key Address is missing"},
-		{"bad address", head + "[Target t]\nService = s\nDomain = a\nAddress = host:80\n", "must be an IP number and port"},
+		{"bad address", head + "[Target t]\nService = s\nDomain = a\nAddress = host:80\n", "must be an IP address and port"},
 		{"not allowed", head + "[Rule r]\nPath = /\nService = s\nIdempotent = maybe\n", "allowed: Auto, Yes, No"},
 		{"unknown section", head + "[Targets]\nx = 1\n", "section [Targets] is unknown"},
 		{"no name", head + "[Target]\nService = s\n", "needs one name"},
@@ -194,7 +198,7 @@
 		{"repeated key", head + "[Service s]\nHomes = 1\nHomes = 2\n", "is given more than once; keep one"},
 		{"no note", "[Service s]\n", "[Note] is missing"},
 		{"no key", head + "nonsense\n", "write Key = Value"},
-		{"status", head + "[Rule r]\nPath = /\nService = s\nNotRunStatuses = 200\n", "statuses from 400 to 599"},
+		{"bad status", head + "[Rule r]\nPath = /\nService = s\nNotRunStatuses = 200\n", "statuses from 400 to 599"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -203,14 +207,14 @@
 				t.Fatalf("got %v, want %q", err, c.want)
 			}
 			if !errorx.IsOfType(err, document.ErrField) && !errorx.IsOfType(err, document.ErrSyntax) {
-				t.Fatalf("%v has no type of its own", err)
+				t.Fatalf("%v is neither ErrField nor ErrSyntax", err)
 			}
 		})
 	}
 }
 
-func TestFoldRefusesWhatDoesNotFit(t *testing.T) {
-	base, err := Configuration{}.Fold(Note{
+func TestApplyRejectsInvalidNotes(t *testing.T) {
+	base, err := Configuration{}.Apply(Note{
 		Services: []Service{{Name: "s"}}, Targets: []Target{{Name: "t", Service: "s", Address: "127.0.0.1:1"}},
 		Rules: []Rule{{Name: "r", Service: "s", Path: "/"}},
 	})
@@ -220,8 +224,8 @@
 		note Note
 		want string
 	}{
-		{"nothing", Note{}, "changes nothing"},
-		{"unknown withdrawal", Note{Withdraw: Withdrawal{Targets: []string{"x"}}}, "not in force"},
+		{"no changes", Note{}, "changes nothing"},
+		{"unknown withdrawal", Note{Withdraw: Withdrawal{Targets: []string{"x"}}}, "not in the configuration"},
 		{"service still used", Note{Withdraw: Withdrawal{Services: []string{"s"}}}, "withdraw the target"},
 		{"unknown service", Note{Targets: []Target{{Name: "u", Service: "x", Address: "127.0.0.1:2"}}}, "add [Service x]"},
 		{"shared address", Note{Targets: []Target{{Name: "u", Service: "s", Address: "127.0.0.1:1"}}}, "share the address"},
@@ -230,15 +234,15 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			after, err := base.Fold(c.note)
+			after, err := base.Apply(c.note)
 			is.True(errorx.IsOfType(err, ErrInvalid))
 			is.True(strings.Contains(err.Error(), c.want))
-			is.Equal(after.Hash(), base.Hash()) // nothing changed
+			is.Equal(after.Hash(), base.Hash()) // the configuration is unchanged
 		})
 	}
 }
 
-func TestMatchTakesTheMostSpecificRule(t *testing.T) {
+func TestMatchReturnsMostSpecificRule(t *testing.T) {
 	is := is.New(t)
 	c := Configuration{Rules: []Rule{
 		{Name: "all", Path: "/"}, {Name: "long", Path: "/a/b"}, {Name: "host", Host: "h", Path: "/"},
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -11,36 +11,37 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrInvalid reports a note that does not fit the configuration it follows; the message names the entry and the remedy.
+// ErrInvalid reports a note that cannot be applied to the configuration that it follows; the message names the entry and
+// the remedy.
 var ErrInvalid = namespace.NewType("invalid")
 
-// Configuration is the sum of all notes up to one number; every list is sorted by name.
+// Configuration is the result of applying all notes up to one number; every list is sorted by name.
 type Configuration struct {
 	Number   int
 	Services []Service
 	Targets  []Target
 	Rules    []Rule
-	// Limits is nil when the entry host's own settings hold.
+	// Limits replaces the limits in the settings of each entry host unless it is nil.
 	Limits *Limits `json:",omitempty"`
 }
 
-// Fold returns the configuration after the note; errors are ErrInvalid and leave c as it was.
-func (c Configuration) Fold(n Note) (Configuration, error) {
+// Apply returns the configuration that the note leads to, or c itself and ErrInvalid if the note cannot be applied.
+func (c Configuration) Apply(n Note) (Configuration, error) {
 	next := Configuration{Number: c.Number + 1}
 	var err error
-	if next.Services, err = fold(c.Services, n.Services, n.Withdraw.Services, "Service", serviceName); err != nil {
+	if next.Services, err = mergeEntries(c.Services, n.Services, n.Withdraw.Services, "Service", serviceName); err != nil {
 		return c, err
 	}
-	if next.Targets, err = fold(c.Targets, n.Targets, n.Withdraw.Targets, "Target", targetName); err != nil {
+	if next.Targets, err = mergeEntries(c.Targets, n.Targets, n.Withdraw.Targets, "Target", targetName); err != nil {
 		return c, err
 	}
-	if next.Rules, err = fold(c.Rules, n.Rules, n.Withdraw.Rules, "Rule", ruleName); err != nil {
+	if next.Rules, err = mergeEntries(c.Rules, n.Rules, n.Withdraw.Rules, "Rule", ruleName); err != nil {
 		return c, err
 	}
 	if isEmpty(n) {
 		return c, ErrInvalid.New("the note changes nothing; add, change or withdraw something")
 	}
-	if err := next.check(); err != nil {
+	if err := next.validate(); err != nil {
 		return c, err
 	}
 	return next, nil
@@ -55,13 +56,14 @@
 	return len(n.Services)+len(n.Targets)+len(n.Rules)+len(w.Services)+len(w.Targets)+len(w.Rules) == 0
 }
 
-// fold removes the withdrawn entries and puts each added one in place of its namesake.
-func fold[T any](old, added []T, withdrawn []string, kind string, name func(T) string) ([]T, error) {
+// mergeEntries returns the old entries without the withdrawn ones and with the added ones, each of which replaces an old
+// entry of the same name.
+func mergeEntries[T any](old, added []T, withdrawn []string, kind string, name func(T) string) ([]T, error) {
 	next := slices.Clone(old)
-	for _, gone := range withdrawn {
-		i := slices.IndexFunc(next, func(t T) bool { return name(t) == gone })
+	for _, withdrawnName := range withdrawn {
+		i := slices.IndexFunc(next, func(t T) bool { return name(t) == withdrawnName })
 		if i < 0 {
-			return nil, ErrInvalid.New("[Withdraw] names %s %q, which is not in force; remove it from the list", kind, gone)
+			return nil, ErrInvalid.New("[Withdraw] names %s %q, which is not in the configuration; remove it from the list", kind, withdrawnName)
 		}
 		next = slices.Delete(next, i, i+1)
 	}
@@ -80,11 +82,12 @@
 	return next, nil
 }
 
-func (c Configuration) check() error {
+func (c Configuration) validate() error {
 	addresses := map[string]string{}
 	for _, t := range c.Targets {
 		if _, found := c.Service(t.Service); !found {
-			return ErrInvalid.New("Target %q names service %q, which is not in force; add [Service %s] or withdraw the target", t.Name, t.Service, t.Service)
+			return ErrInvalid.New("Target %q names service %q, which is not in the configuration; add [Service %s] or withdraw the target",
+				t.Name, t.Service, t.Service)
 		}
 		if other, taken := addresses[t.Address]; taken {
 			return ErrInvalid.New("Target %q and Target %q share the address %s; give each its own", other, t.Name, t.Address)
@@ -93,13 +96,14 @@
 	}
 	for _, r := range c.Rules {
 		if _, found := c.Service(r.Service); !found {
-			return ErrInvalid.New("Rule %q names service %q, which is not in force; add [Service %s] or withdraw the rule", r.Name, r.Service, r.Service)
+			return ErrInvalid.New("Rule %q names service %q, which is not in the configuration; add [Service %s] or withdraw the rule",
+				r.Name, r.Service, r.Service)
 		}
 	}
 	return nil
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (c Configuration) Service(name string) (Service, bool) {
 	i, found := slices.BinarySearchFunc(c.Services, name, func(s Service, n string) int { return strings.Compare(s.Name, n) })
 	if !found {
@@ -119,7 +123,8 @@
 	return targets
 }
 
-// Match returns the most specific rule for a request: a named host first, then the longest path, then a named method.
+// Match returns the most specific rule for a request. Rules with a host precede those without, then longer paths precede
+// shorter ones, then rules with methods precede those without.
 func (c Configuration) Match(host, path, method string) (Rule, bool) {
 	var best Rule
 	found := false
@@ -147,7 +152,7 @@
 	return len(r.Methods) > 0 && len(other.Methods) == 0
 }
 
-// LongestDeadline returns the longest deadline of any rule, or the default one.
+// LongestDeadline returns the longest deadline of all rules, and at least the default deadline.
 func (c Configuration) LongestDeadline() time.Duration {
 	longest := defaultDeadline
 	for _, r := range c.Rules {
@@ -162,7 +167,7 @@
 func hash(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(errorx.Panic(errorx.Decorate(err, "plain structs always marshal")))
+		panic(errorx.Panic(errorx.Decorate(err, "a configuration or record cannot be marshaled to JSON")))
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
--- a/internal/record/book.go
+++ b/internal/record/book.go
@@ -10,57 +10,58 @@
 	"github.com/rs/zerolog"
 )
 
-// writeBacklog is how many records may wait for the log's writer.
-const writeBacklog = 1024
+// writeQueueCapacity is the maximum number of records that wait to be written to the structured log.
+const writeQueueCapacity = 1024
 
-// Book holds a host's newest records in a bounded ring and writes each to the structured log.
-type Book struct {
-	config   Config
+// Log holds the newest records of a host in memory and writes every record to the structured log in the background.
+// It is safe for concurrent use.
+type Log struct {
+	config   LogConfig
 	recent   *ring.Recent[Record]
-	write    *ring.Queue[Record]
+	pending  *ring.Queue[Record]
 	mu       sync.Mutex
 	sequence uint64
 }
 
-// Config sets up a Book; Capacity is the number of records kept.
-type Config struct {
+// LogConfig configures a Log; Capacity is the number of records that it holds.
+type LogConfig struct {
 	Host        string
 	Incarnation uint64
 	Capacity    int
 	Logger      zerolog.Logger
 }
 
-// New returns an empty book and the function that stops its writer after what it holds is written.
-func New(c Config) (*Book, func()) {
-	b := &Book{
-		config: c,
-		recent: ring.NewRecent[Record](ring.Config{Capacity: c.Capacity}),
-		write:  ring.NewQueue[Record](ring.Config{Capacity: writeBacklog}),
+// NewLog returns an empty log and a function that stops its background writer once the pending records are written.
+func NewLog(c LogConfig) (*Log, func()) {
+	l := &Log{
+		config:  c,
+		recent:  ring.NewRecent[Record](ring.Config{Capacity: c.Capacity}),
+		pending: ring.NewQueue[Record](ring.Config{Capacity: writeQueueCapacity}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go b.writeAll(ctx, done)
-	return b, func() {
+	go l.writeLoop(ctx, done)
+	return l, func() {
 		cancel()
 		<-done
 	}
 }
 
-// Add stamps and stores a record.
-func (b *Book) Add(r Record) {
-	b.mu.Lock()
-	b.sequence++
-	r.Time, r.Host, r.Incarnation, r.Sequence = time.Now().UTC(), b.config.Host, b.config.Incarnation, b.sequence
-	b.recent.Add(r)
-	b.mu.Unlock()
-	b.write.Push(r)
+// Add sets the time, host, incarnation and sequence of a record and stores it.
+func (l *Log) Add(r Record) {
+	l.mu.Lock()
+	l.sequence++
+	r.Time, r.Host, r.Incarnation, r.Sequence = time.Now().UTC(), l.config.Host, l.config.Incarnation, l.sequence
+	l.recent.Add(r)
+	l.mu.Unlock()
+	l.pending.Push(r)
 }
 
-// Since returns the records not older than since that concern a target, oldest first.
-// An empty target selects all; records without a target concern every target.
-func (b *Book) Since(target string, since time.Time) []Record {
+// Since returns the records from the time since on that are about a target, oldest first. Records without a target are
+// about all of them, and an empty target selects all records.
+func (l *Log) Since(target string, since time.Time) []Record {
 	var records []Record
-	for _, r := range b.recent.Items() {
+	for _, r := range l.recent.Items() {
 		if !r.Time.Before(since) && (target == "" || r.Target == "" || r.Target == target) {
 			records = append(records, r)
 		}
@@ -68,36 +69,37 @@
 	return records
 }
 
-// Unwritten returns how many records were kept but not logged, because the log could not keep up.
-func (b *Book) Unwritten() int64 { return b.write.Dropped() }
+// Unwritten returns the number of records that were not written to the structured log because too many were pending.
+func (l *Log) Unwritten() int64 { return l.pending.Dropped() }
 
-func (b *Book) writeAll(ctx context.Context, done chan<- struct{}) {
+func (l *Log) writeLoop(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for {
-		r, ok := b.write.Pop(ctx)
+		r, ok := l.pending.Pop(ctx)
 		if !ok {
-			b.drain()
+			l.drain()
 			return
 		}
-		b.log(r)
+		l.writeRecord(r)
 	}
 }
 
-func (b *Book) drain() {
-	ended, cancel := context.WithCancel(context.Background())
+func (l *Log) drain() {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range writeBacklog {
-		r, ok := b.write.Pop(ended)
+	for range writeQueueCapacity {
+		r, ok := l.pending.Pop(canceled)
 		if !ok {
 			return
 		}
-		b.log(r)
+		l.writeRecord(r)
 	}
 }
 
-// log writes one record in the event schema that every event shares.
-func (b *Book) log(r Record) {
-	b.config.Logger.Info().
+// writeRecord writes one record to the structured log; the keys are the same for all kinds of records. Operators match the
+// message in their tools, so it does not change.
+func (l *Log) writeRecord(r Record) {
+	l.config.Logger.Info().
 		Time("At", r.Time).
 		Uint64("Sequence", r.Sequence).
 		Str("Kind", string(r.Kind)).
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -2,9 +2,9 @@
 
 import "briarcroft/internal/host"
 
-// OfMembership returns the record of one change of the membership.
-func OfMembership(e host.Event, number int) Record {
-	r := Record{Note: number, Evidence: Evidence{Peer: e.Member.Name, Detail: e.Member.Inner}}
+// FromMembershipEvent returns the record of a change of the membership; noteNumber is the number of the note in force.
+func FromMembershipEvent(e host.Event, noteNumber int) Record {
+	r := Record{Note: noteNumber, Evidence: Evidence{Peer: e.Member.Name, Detail: e.Member.Inner}}
 	switch e.Kind {
 	case host.Joined:
 		r.Kind, r.Cause = HostJoined, "Heartbeat"
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,4 +1,6 @@
-// Package record keeps the typed explanations of every change of steering.
+// Package record keeps the event records of an entry host. Each says what changed in the routing of requests or in the
+// membership of entry hosts, why, and on what evidence. The newest records are served over HTTP, and all are written to
+// the structured log. Timeline and EligibleTargets rebuild from them which targets could get requests at which time.
 package record
 
 import (
@@ -7,40 +9,54 @@
 	"time"
 )
 
-// Kind says what changed.
+// Kind says what kind of change a record is about.
 type Kind string
 
-// The kinds of record.
+// The kinds of records.
 const (
-	NoteAdopted     Kind = "NoteAdopted"
-	NoteRejected    Kind = "NoteRejected"
-	TargetMoved     Kind = "TargetMoved"
+	// NoteAdopted means that the host put a newer note in force.
+	NoteAdopted Kind = "NoteAdopted"
+	// NoteRejected means that the host could not apply a note or an entry of the store.
+	NoteRejected Kind = "NoteRejected"
+	// TargetMoved means that a target changed its state, from From to To.
+	TargetMoved Kind = "TargetMoved"
+	// TargetForgotten means that a target was removed from the host's routing table.
 	TargetForgotten Kind = "TargetForgotten"
-	HostJoined      Kind = "HostJoined"
-	HostLeft        Kind = "HostLeft"
-	HostPaused      Kind = "HostPaused"
-	HostSealed      Kind = "HostSealed"
-	HomeMoved       Kind = "HomeMoved"
-	Quarantined     Kind = "RequestQuarantined"
+	// HostJoined means that an entry host appeared in the membership, for the first time or again.
+	HostJoined Kind = "HostJoined"
+	// HostLeft means that an entry host stopped or that its heartbeats stayed away.
+	HostLeft Kind = "HostLeft"
+	// HostPaused means that the process of this host did not run for a while, so that its own heartbeat was late.
+	HostPaused Kind = "HostPaused"
+	// HostSealed means that this host is stopping and runs no more new requests with its grants.
+	HostSealed Kind = "HostSealed"
+	// HomeMoved means that another host became the home of a service.
+	HomeMoved Kind = "HomeMoved"
+	// RequestQuarantined means that a request is refused for a while because it broke connections of several targets.
+	RequestQuarantined Kind = "RequestQuarantined"
+	// BudgetExhausted means that probes of targets are skipped because the budget for measuring is spent.
 	BudgetExhausted Kind = "BudgetExhausted"
-	OverloadBegan   Kind = "OverloadBegan"
-	OverloadEnded   Kind = "OverloadEnded"
-	StoreLost       Kind = "StoreLost"
-	StoreReturned   Kind = "StoreReturned"
+	// OverloadBegan and OverloadEnded enclose a time in which the queue of a service refused requests.
+	OverloadBegan Kind = "OverloadBegan"
+	OverloadEnded Kind = "OverloadEnded"
+	// StoreLost means that calls to the platform's store fail, and StoreReturned that they succeed again.
+	StoreLost     Kind = "StoreLost"
+	StoreReturned Kind = "StoreReturned"
 )
 
-// Evidence is what a decision was based on; fields that do not apply are zero.
+// Evidence is the data that a change is based on; fields that do not apply are zero.
 type Evidence struct {
 	Failures int           `json:",omitempty"`
 	Latency  time.Duration `json:",omitempty"`
-	Usual    time.Duration `json:",omitempty"`
-	Queued   int           `json:",omitempty"`
-	Peer     string        `json:",omitempty"`
-	Hash     string        `json:",omitempty"`
-	Detail   string        `json:",omitempty"`
+	// Usual is the mean latency that Latency was compared with.
+	Usual  time.Duration `json:",omitempty"`
+	Queued int           `json:",omitempty"`
+	Peer   string        `json:",omitempty"`
+	Hash   string        `json:",omitempty"`
+	Detail string        `json:",omitempty"`
 }
 
-// Record is one change of steering on one entry host.
+// Record is one change as one entry host saw it. Sequence numbers the records of an incarnation of the host.
 type Record struct {
 	Time        time.Time
 	Host        string
@@ -52,7 +68,7 @@
 	From        string `json:",omitempty"`
 	To          string `json:",omitempty"`
 	Cause       string `json:",omitempty"`
-	// Note is the number of the note in force when it happened.
+	// Note is the number of the note that was in force at the time of the change.
 	Note     int
 	Evidence Evidence
 }
@@ -64,8 +80,9 @@
 	})
 }
 
-// Eligible returns, from one host's records alone, the targets of a service that could get new requests at an instant, sorted.
-func Eligible(records []Record, service string, at time.Time) []string {
+// EligibleTargets returns the sorted names of the targets of a service that could get new requests at the given time,
+// according to the records of one host; records must be in the order of their time.
+func EligibleTargets(records []Record, service string, at time.Time) []string {
 	states := map[string]string{}
 	for _, r := range records {
 		if r.Service != service || r.Time.After(at) {
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -7,8 +7,9 @@
 	"briarcroft/internal/page"
 )
 
-// ServeHTTP answers with the records that concern the parameter Target since the time Since; both may be left out.
-func (b *Book) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP writes the records about the target in the query parameter Target, from the time in the parameter Since on, as
+// JSON; both parameters are optional.
+func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since := time.Time{}
 	if text := r.URL.Query().Get("Since"); text != "" {
 		var err error
@@ -17,5 +18,5 @@
 			return
 		}
 	}
-	page.Write(w, http.StatusOK, struct{ Records []Record }{b.Since(r.URL.Query().Get("Target"), since)})
+	page.Write(w, http.StatusOK, struct{ Records []Record }{l.Since(r.URL.Query().Get("Target"), since)})
 }
--- a/internal/record/timeline.go
+++ b/internal/record/timeline.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Interval is a stretch of time in which a target was in one state on one host.
+// Interval is a time span in which a target was in one state on one host.
 type Interval struct {
 	Host        string
 	Incarnation uint64
@@ -20,30 +20,29 @@
 	Evidence    Evidence
 }
 
-// Length returns how long the interval lasted.
-func (i Interval) Length() time.Duration { return i.To.Sub(i.From) }
+func (i Interval) Duration() time.Duration { return i.To.Sub(i.From) }
 
-// Eligible reports whether the target could get new requests in the interval.
+// Eligible reports whether the target could get new requests from the host in the interval.
 func (i Interval) Eligible() bool { return i.State == "Live" || i.State == "Ramping" }
 
-// Stretch is a period that is asked about.
-type Stretch struct {
+// TimeRange is the period that a timeline covers.
+type TimeRange struct {
 	From time.Time
 	To   time.Time
 }
 
-// line names one target on one incarnation of one host.
-type line struct {
+// timelineKey identifies the state of one target in one incarnation of a host.
+type timelineKey struct {
 	host        string
 	incarnation uint64
 	target      string
 }
 
-// Timeline returns the intervals of a target's states that reach into a stretch, by host and time.
-// Time before a host's first record of the target is left out: the host did not run, did not know the target,
-// or no longer holds the record.
-func Timeline(records []Record, target string, s Stretch) []Interval {
-	open := map[line]Interval{}
+// Timeline returns the states of a target on each host as intervals within a period, sorted by host and time.
+// The time before a host's first record about the target is left out: the host was not running, did not have the target
+// in its configuration, or no longer holds the record.
+func Timeline(records []Record, target string, period TimeRange) []Interval {
+	current := map[timelineKey]Interval{}
 	var list []Interval
 	sorted := slices.Clone(records)
 	Sort(sorted)
@@ -51,35 +50,35 @@
 		if r.Target != target || r.Kind != TargetMoved && r.Kind != TargetForgotten {
 			continue
 		}
-		key := line{r.Host, r.Incarnation, r.Target}
-		if before, found := open[key]; found {
-			before.To = r.Time
-			list = append(list, before)
-			delete(open, key)
+		key := timelineKey{r.Host, r.Incarnation, r.Target}
+		if previous, found := current[key]; found {
+			previous.To = r.Time
+			list = append(list, previous)
+			delete(current, key)
 		}
 		if r.Kind == TargetMoved {
-			open[key] = Interval{
+			current[key] = Interval{
 				Host: r.Host, Incarnation: r.Incarnation, Service: r.Service, Target: r.Target, State: r.To,
 				Cause: r.Cause, Note: r.Note, From: r.Time, Evidence: r.Evidence,
 			}
 		}
 	}
-	for _, interval := range open {
-		interval.To = s.To
+	for _, interval := range current {
+		interval.To = period.To
 		list = append(list, interval)
 	}
-	return clip(list, s)
+	return clip(list, period)
 }
 
-// clip cuts intervals to a stretch, drops those outside, and sorts the rest.
-func clip(list []Interval, s Stretch) []Interval {
-	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(s.To) || !i.To.After(s.From) })
+// clip cuts intervals to a period, drops those outside and sorts the rest by host and time.
+func clip(list []Interval, period TimeRange) []Interval {
+	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(period.To) || !i.To.After(period.From) })
 	for i := range list {
-		if list[i].From.Before(s.From) {
-			list[i].From = s.From
+		if list[i].From.Before(period.From) {
+			list[i].From = period.From
 		}
-		if list[i].To.After(s.To) {
-			list[i].To = s.To
+		if list[i].To.After(period.To) {
+			list[i].To = period.To
 		}
 	}
 	slices.SortFunc(list, func(a, b Interval) int {
@@ -88,32 +87,32 @@
 	return list
 }
 
-// Share is how much of a stretch a target was eligible on one host.
-type Share struct {
+// Eligibility is how long a target could get new requests from one host.
+type Eligibility struct {
 	Host     string
 	Eligible time.Duration
-	// Known is how much of the stretch the host's records cover.
-	Known time.Duration
+	// Covered is the part of the period for which the host's records give the target's state.
+	Covered time.Duration
 }
 
-// Shares sums a timeline by host.
-func Shares(timeline []Interval) []Share {
-	byHost := map[string]*Share{}
+// EligibilityByHost sums the intervals of a timeline by host, sorted by host.
+func EligibilityByHost(timeline []Interval) []Eligibility {
+	byHost := map[string]*Eligibility{}
 	for _, i := range timeline {
-		s := byHost[i.Host]
-		if s == nil {
-			s = &Share{Host: i.Host}
-			byHost[i.Host] = s
+		e := byHost[i.Host]
+		if e == nil {
+			e = &Eligibility{Host: i.Host}
+			byHost[i.Host] = e
 		}
-		s.Known += i.Length()
+		e.Covered += i.Duration()
 		if i.Eligible() {
-			s.Eligible += i.Length()
+			e.Eligible += i.Duration()
 		}
 	}
-	var list []Share
-	for _, s := range byHost {
-		list = append(list, *s)
+	var list []Eligibility
+	for _, e := range byHost {
+		list = append(list, *e)
 	}
-	slices.SortFunc(list, func(a, b Share) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(list, func(a, b Eligibility) int { return cmp.Compare(a.Host, b.Host) })
 	return list
 }
--- a/internal/settings/follow.go
+++ b/internal/settings/follow.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// FollowConfig sets up Follow.
-type FollowConfig struct {
+// WatchConfig configures Watch.
+type WatchConfig struct {
 	File string
-	// Every is how often the file is read, and Hup asks for a reading at once.
-	Every time.Duration
-	Hup   <-chan os.Signal
-	// OnChange gets settings that differ from the last ones, and OnRefused why new ones are not taken.
-	OnChange  func(Settings)
-	OnRefused func(error)
+	// Interval is the time between two reads of the file.
+	Interval time.Duration
+	// Reload makes Watch read the file at once.
+	Reload <-chan os.Signal
+	// OnChange is called with the new settings after the file has changed.
+	OnChange func(Settings)
+	// OnRejected is called with the error if the file cannot be read or its settings are invalid.
+	OnRejected func(error)
 }
 
-// Follow reads a settings file again and again until the context ends, and reports its end on the channel.
-// A file that can't be used changes nothing.
-func Follow(ctx context.Context, c FollowConfig) <-chan struct{} {
+// Watch reads a settings file periodically, in the background, and reports changes until the context ends; then it closes
+// the returned channel. A file that cannot be read or is invalid does not count as a change.
+func Watch(ctx context.Context, c WatchConfig) <-chan struct{} {
 	last, err := os.ReadFile(c.File)
 	if err != nil {
-		c.OnRefused(ErrFile.New("%v; the settings in force stay", err))
+		c.OnRejected(ErrFile.New("cannot read the settings: %v; the current ones stay in force", err))
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		follow(ctx, c, last)
+		watch(ctx, c, last)
 	}()
 	return done
 }
 
-func follow(ctx context.Context, c FollowConfig, last []byte) {
-	ticker := time.NewTicker(c.Every)
+func watch(ctx context.Context, c WatchConfig, last []byte) {
+	ticker := time.NewTicker(c.Interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Hup:
+		case <-c.Reload:
 		case <-ticker.C:
 		}
 		text, err := os.ReadFile(c.File)
@@ -49,12 +51,12 @@
 		}
 		last = text
 		if err != nil {
-			c.OnRefused(ErrFile.New("%v; the settings in force stay", err))
+			c.OnRejected(ErrFile.New("cannot read the settings: %v; the current ones stay in force", err))
 			continue
 		}
 		s, err := Parse(c.File, text)
 		if err != nil {
-			c.OnRefused(err)
+			c.OnRejected(err)
 			continue
 		}
 		c.OnChange(s)
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -142,7 +142,7 @@
 		return route.Failed
 	}
 	s.dispatcher.config.Records.Add(record.Record{
-		Kind: record.Quarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.dispatcher.noteNumber(),
+		Kind: record.RequestQuarantined, Service: s.name, Target: target, Cause: "BrokeConnections", Note: s.dispatcher.noteNumber(),
 		Evidence: record.Evidence{Detail: strconv.FormatUint(r.Fingerprint, 16)},
 	})
 	s.dispatcher.config.OnQuarantine()
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -19,7 +19,7 @@
 
 // Config configures a Dispatcher.
 type Config struct {
-	Records    *record.Book
+	Records    *record.Log
 	Quarantine *claim.Quarantine
 	// Clock is the host's monotonic clock.
 	Clock func() time.Duration
