--- a/internal/command/native_test.go
+++ b/internal/command/native_test.go
@@ -34,7 +34,7 @@
 	store := standin.New()
 	store.Put("op/config", []byte(`{"version":"00000007","routes":[{"name":"r","host":"h","prefix":"/p/","kind":"safe","timeout-ms":900,"service":"s"}],"services":[{"name":"s","health-path":"/health"}]}`))
 	store.Put("servers/i-1", []byte(`{"service":"s","address":"127.0.0.1:1","zone":"a","slots":3,"state":"ready"}`))
-	server := httptest.NewServer(store.For("h"))
+	server := httptest.NewServer(store.HandlerFor("h"))
 	defer server.Close()
 	metrics := freeAddress(t)
 	text := fmt.Sprintf("[Host]\nName = g\nDomain = a\nListen = %s\nInner = %s\nMetrics = %s\n[Platform]\nKind = Native\nStore = %s\n",
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -50,7 +50,7 @@
 // fleet is everything that a run started.
 type fleet struct {
 	config   Config
-	store    *standin.Standin
+	store    *standin.Server
 	storeURL string
 	client   platform.Store
 	archive  *note.Archive
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -28,7 +28,7 @@
 type fleet struct {
 	is      *is.I
 	net     *fakenet.Network
-	store   *standin.Standin
+	store   *standin.Server
 	archive *note.Archive
 	nodes   map[string]*node
 	order   []string
--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -24,7 +24,7 @@
 		f.publish(next(1))
 		f.publish(next(2))
 		f.await(3, inForceBound)
-		f.store.SetFaults(standin.Faults{StaleRevision: old, SilentWatches: true})
+		f.store.SetFaults(standin.Faults{StaleRevision: old, SuppressWatchEvents: true})
 		f.crash("entry-3")
 		f.start("entry-3", "")
 		f.await(3, liveBound)
@@ -45,7 +45,7 @@
 	}{
 		{"all well", 13, inForceBound, func(*fleet) {}},
 		{"all well at the planned size", 40, plannedBound, func(*fleet) {}},
-		{"watches silent", 13, inForceBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SilentWatches: true}) }},
+		{"watches silent", 13, inForceBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SuppressWatchEvents: true}) }},
 		{"a third of the links lost", 13, inForceBound, func(f *fleet) {
 			for i, a := range f.order {
 				for j, b := range f.order {
@@ -101,7 +101,7 @@
 }
 
 // totalCalls counts the key-value calls; the host list is another service.
-func totalCalls(s *standin.Standin) int64 {
+func totalCalls(s *standin.Server) int64 {
 	var sum int64
 	for call, n := range s.Calls() {
 		if call != standin.CallHosts {
@@ -118,8 +118,8 @@
 		faults standin.Faults
 	}{
 		{"all well", standin.Faults{}},
-		{"lost confirmations", standin.Faults{LoseConfirmations: 2}},
-		{"late writes", standin.Faults{LateWrites: 2, LateBy: 300 * time.Millisecond}},
+		{"lost confirmations", standin.Faults{DropWriteResponses: 2}},
+		{"late writes", standin.Faults{DelayedWrites: 2, WriteDelay: 300 * time.Millisecond}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -75,7 +75,7 @@
 // settled returns the key under the grant that the store holds for it.
 func settled(k claim.Key, own claim.Grant, result platform.CreateResult) (claim.Key, bool) {
 	k.Grant = own
-	if result.Won {
+	if result.Created {
 		return k, true
 	}
 	var o owner
@@ -101,7 +101,7 @@
 	if p.lease != 0 && time.Since(p.leased) < leaseRenewal {
 		return p.lease, nil
 	}
-	lease, err := p.store.Lease(ctx, claimLease)
+	lease, err := p.store.GrantLease(ctx, claimLease)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -261,9 +261,9 @@
 	case "store slow":
 		s.store(standin.Faults{Delay: 700 * time.Millisecond}, last)
 	case "lost confirmation":
-		s.store(standin.Faults{LoseConfirmations: 5}, last)
+		s.store(standin.Faults{DropWriteResponses: 5}, last)
 	case "late write":
-		s.store(standin.Faults{LateWrites: 3, LateBy: last / 2}, last)
+		s.store(standin.Faults{DelayedWrites: 3, WriteDelay: last / 2}, last)
 	}
 }
 
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -17,7 +17,7 @@
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			inFleet(t, 2, 2, func(f *fleet) {
 				for _, x := range f.targets {
-					x.Set(func(t *standin.Target) { t.Status = status })
+					x.Update(func(t *standin.Target) { t.Status = status })
 				}
 				for i, request := range []struct{ method, path string }{{http.MethodPost, "/order/1"}, {http.MethodGet, "/lookup/1"}} {
 					id := fmt.Sprintf("f%d", i)
@@ -39,7 +39,7 @@
 func TestOddRefusalIsNoPromise(t *testing.T) {
 	inFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
-			x.Set(func(t *standin.Target) { t.Status, t.Unsealed = 503, true })
+			x.Update(func(t *standin.Target) { t.Status, t.OmitSeal = 503, true })
 		}
 		r := f.call("h0", http.MethodPost, "/order/1", "odd")
 		f.is.NoErr(r.err)
@@ -52,18 +52,18 @@
 func TestTimeLeftIsSent(t *testing.T) {
 	inFleet(t, 2, 3, func(f *fleet) {
 		const lateAnswer = 200 * time.Millisecond
-		f.targets["t0"].Set(func(t *standin.Target) { t.Lose, t.Work = true, lateAnswer })
+		f.targets["t0"].Update(func(t *standin.Target) { t.DropResponses, t.RunDuration = true, lateAnswer })
 		seconds := 0
 		for i := range 30 {
 			id := fmt.Sprintf("l%d", i)
 			for _, x := range f.targets {
-				x.Set(func(t *standin.Target) { t.Limits = nil })
+				x.Update(func(t *standin.Target) { t.TimeLimits = nil })
 			}
 			f.is.Equal(f.call("h0", http.MethodGet, "/lookup/1", id).status, 200)
 			second := f.arrivalsOf(id) == 2
 			for _, x := range f.targets {
-				x.Set(func(t *standin.Target) {
-					for _, limit := range t.Limits {
+				x.Update(func(t *standin.Target) {
+					for _, limit := range t.TimeLimits {
 						f.is.True(limit > 0 && limit <= time.Second)
 						if second && t.Name != "t0" {
 							seconds++
@@ -82,7 +82,7 @@
 // first one, and callers don't notice.
 func TestAddressOfAnotherServer(t *testing.T) {
 	inFleet(t, 2, 3, func(f *fleet) {
-		f.targets["t0"].Set(func(t *standin.Target) { t.Name = "stranger" })
+		f.targets["t0"].Update(func(t *standin.Target) { t.Name = "stranger" })
 		for i := range 40 {
 			id, method, path := fmt.Sprintf("a%d", i), http.MethodGet, "/lookup/1"
 			if i%2 == 0 {
@@ -93,7 +93,7 @@
 			f.is.Equal(f.runsOf(id), 1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		f.targets["t0"].Set(func(t *standin.Target) { f.is.Equal(len(t.Runs), 0) })
+		f.targets["t0"].Update(func(t *standin.Target) { f.is.Equal(len(t.Runs), 0) })
 	})
 }
 
@@ -116,7 +116,7 @@
 		late := f.addTarget("late")
 		time.Sleep(2 * time.Second)
 		send("after")
-		late.Set(func(t *standin.Target) {
+		late.Update(func(t *standin.Target) {
 			f.is.True(len(t.Runs) >= callers*each/3/2) // at least half of a third
 		})
 	})
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -136,7 +136,7 @@
 		s.Peers.Seeds = []string{first.inner}
 	}
 	dial := f.net.Dialer(name)
-	storeAddress := f.serve("store", "", f.store.For(name))
+	storeAddress := f.serve("store", "", f.store.HandlerFor(name))
 	feed, closeFeed := platform.NewStore(platform.StoreConfig{URL: "http://" + storeAddress, Timeout: time.Second, Dial: dial})
 	g, closeHost := gateway.New(gateway.Config{
 		Settings: s, Dialect: platform.Dialect(), Feed: feed, Logger: zerolog.Nop(), Dial: dial,
@@ -176,7 +176,7 @@
 
 // register writes a target's entry.
 func (f *fleet) register(t *standin.Target, state string) {
-	f.store.Put("servers/"+t.Name, t.Entry("stock", state))
+	f.store.Put("servers/"+t.Name, t.StoreValue("stock", state))
 }
 
 // reply is what a caller got.
@@ -213,7 +213,7 @@
 func (f *fleet) runsOf(id string) int {
 	sum := 0
 	for _, t := range f.targets {
-		sum += t.RunsOf(id)
+		sum += t.RunCount(id)
 	}
 	return sum
 }
@@ -222,7 +222,7 @@
 func (f *fleet) arrivalsOf(id string) int {
 	sum := 0
 	for _, t := range f.targets {
-		sum += t.ArrivalsOf(id)
+		sum += t.ArrivalCount(id)
 	}
 	return sum
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,7 +72,7 @@
 type Config struct {
 	Settings settings.Settings
 	Dialect  Dialect
-	Feed     platform.Feed
+	Feed     platform.WatchableStore
 	Logger   zerolog.Logger
 	// Listen opens listeners; nil means TCP.
 	Listen func(network, address string) (net.Listener, error)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,16 +96,16 @@
 		name   string
 		change func(*standin.Target)
 	}{
-		{"answer lost", func(t *standin.Target) { t.Lose = true }},
-		{"target sheds", func(t *standin.Target) { t.Shed = true }},
-		{"answer cut", func(t *standin.Target) { t.Cut = true }},
-		{"too slow", func(t *standin.Target) { t.Work = 2 * time.Second }},
+		{"answer lost", func(t *standin.Target) { t.DropResponses = true }},
+		{"target sheds", func(t *standin.Target) { t.RefuseRuns = true }},
+		{"answer cut", func(t *standin.Target) { t.TruncateResponses = true }},
+		{"too slow", func(t *standin.Target) { t.RunDuration = 2 * time.Second }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inFleet(t, 3, 4, func(f *fleet) {
 				for _, name := range []string{"t0", "t1", "t2"} {
-					f.targets[name].Set(c.change)
+					f.targets[name].Update(c.change)
 				}
 				for i := range 30 {
 					id := fmt.Sprintf("o%d", i)
@@ -129,14 +129,14 @@
 		name   string
 		change func(*standin.Target)
 	}{
-		{"answer lost", func(t *standin.Target) { t.Lose = true }},
-		{"answer cut", func(t *standin.Target) { t.Cut = true }},
-		{"target sheds", func(t *standin.Target) { t.Shed = true }},
+		{"answer lost", func(t *standin.Target) { t.DropResponses = true }},
+		{"answer cut", func(t *standin.Target) { t.TruncateResponses = true }},
+		{"target sheds", func(t *standin.Target) { t.RefuseRuns = true }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inFleet(t, 2, 4, func(f *fleet) {
-				f.targets["t0"].Set(c.change)
+				f.targets["t0"].Update(c.change)
 				for i := range 20 {
 					id := fmt.Sprintf("s%d", i)
 					r := f.call("h0", http.MethodGet, "/lookup/1", id)
@@ -154,7 +154,7 @@
 func TestRepeatsStayWithinBudget(t *testing.T) {
 	inFleet(t, 4, 6, func(f *fleet) {
 		for _, x := range f.targets {
-			x.Set(func(t *standin.Target) { t.Shed = true })
+			x.Update(func(t *standin.Target) { t.RefuseRuns = true })
 		}
 		const requests = 200
 		repeats := 0
@@ -248,7 +248,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		for _, name := range []string{"t0", "t1"} {
-			f.targets[name].Set(func(t *standin.Target) { f.is.True(t.Last.Before(left.Add(time.Second))) })
+			f.targets[name].Update(func(t *standin.Target) { f.is.True(t.LastRunStart.Before(left.Add(time.Second))) })
 		}
 	})
 }
@@ -270,7 +270,7 @@
 		for i := range 10 {
 			f.is.Equal(f.call("h2", http.MethodGet, "/lookup/1", fmt.Sprintf("g%d", i)).status, 200)
 		}
-		f.targets["t0"].Set(func(t *standin.Target) { f.is.True(time.Since(t.Last) > 2*time.Second) })
+		f.targets["t0"].Update(func(t *standin.Target) { f.is.True(time.Since(t.LastRunStart) > 2*time.Second) })
 	})
 }
 
@@ -344,7 +344,7 @@
 // TestGracefulStopCutsNothing stops each host in turn while callers go on.
 func TestGracefulStopCutsNothing(t *testing.T) {
 	inFleet(t, 3, 3, func(f *fleet) {
-		f.targets["t0"].Set(func(t *standin.Target) { t.Work = 300 * time.Millisecond })
+		f.targets["t0"].Update(func(t *standin.Target) { t.RunDuration = 300 * time.Millisecond })
 		for name := range f.hosts {
 			var group sync.WaitGroup
 			for i := range 10 {
@@ -369,7 +369,7 @@
 func TestCallerLeaves(t *testing.T) {
 	inFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
-			x.Set(func(t *standin.Target) { t.Work = 900 * time.Millisecond })
+			x.Update(func(t *standin.Target) { t.RunDuration = 900 * time.Millisecond })
 		}
 		for _, path := range []string{"GET /lookup/1", "POST /order/1"} {
 			conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts["h0"].front)
@@ -382,7 +382,7 @@
 		time.Sleep(500 * time.Millisecond)
 		cancelled, running := 0, 0
 		for _, x := range f.targets {
-			x.Set(func(t *standin.Target) { cancelled += t.Cancelled; running += t.Running })
+			x.Update(func(t *standin.Target) { cancelled += t.CanceledRuns; running += t.InFlight })
 		}
 		f.is.Equal(cancelled, 1)
 		f.is.Equal(running, 1)
@@ -443,10 +443,10 @@
 func TestStoreCalls(t *testing.T) {
 	inFleet(t, 9, 4, func(f *fleet) {
 		time.Sleep(4 * time.Second) // the watchers have left their addresses in the store
-		before := f.store.Calls()
+		before := f.store.CallCount()
 		time.Sleep(30 * time.Second)
-		t.Logf("%d calls in 30 s", f.store.Calls()-before)
-		f.is.True(f.store.Calls()-before <= 3*(30*2/3+2)) // one watch in 1.5 s for each failure domain
+		t.Logf("%d calls in 30 s", f.store.CallCount()-before)
+		f.is.True(f.store.CallCount()-before <= 3*(30*2/3+2)) // one watch in 1.5 s for each failure domain
 	})
 }
 
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -254,7 +254,7 @@
 // disturb makes a target or the store misbehave for a while.
 func (x *trial) disturb(f fault, host string, server *standin.Target) {
 	faults := map[string]standin.Faults{
-		"StoreRefuses": {Status: 503}, "StoreRefusesOne": {Status: 503}, "StoreSilent": {Silent: true}, "StoreSlow": {Delay: 700 * time.Millisecond},
+		"StoreRefuses": {Status: 503}, "StoreRefusesOne": {Status: 503}, "StoreSilent": {Unresponsive: true}, "StoreSlow": {Delay: 700 * time.Millisecond},
 	}
 	if trouble, found := faults[f.Kind]; found {
 		if f.Kind != "StoreRefusesOne" {
@@ -266,18 +266,18 @@
 		return
 	}
 	change := func(on bool) {
-		server.Set(func(t *standin.Target) {
+		server.Update(func(t *standin.Target) {
 			switch f.Kind {
 			case "TargetLosesAnswers":
-				t.Lose = on
+				t.DropResponses = on
 			case "TargetCutsAnswers":
-				t.Cut = on
+				t.TruncateResponses = on
 			case "TargetSheds":
-				t.Shed = on
+				t.RefuseRuns = on
 			case "TargetSlow":
-				t.Work = 50 * time.Millisecond
+				t.RunDuration = 50 * time.Millisecond
 				if on {
-					t.Work = 600 * time.Millisecond
+					t.RunDuration = 600 * time.Millisecond
 				}
 			}
 		})
@@ -323,9 +323,9 @@
 	from := time.Now()
 	time.Sleep(f.For)
 	if !x.plan.has(storeFaults...) && !x.plan.has(hostFaults...) && !x.againLeft(f) {
-		server.Set(func(t *standin.Target) {
-			if t.Last.After(from) {
-				x.violate("%s got new work %v after it began to leave", t.Name, drainBound+t.Last.Sub(from))
+		server.Update(func(t *standin.Target) {
+			if t.LastRunStart.After(from) {
+				x.violate("%s got new work %v after it began to leave", t.Name, drainBound+t.LastRunStart.Sub(from))
 			}
 		})
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -161,7 +161,7 @@
 // follow waits for the next changes.
 func (g *Gateway) follow(ctx context.Context, revision int64) (int64, error) {
 	g.stats.storeCalls.Add(1)
-	changes, next, err := g.config.Feed.Follow(ctx, "", revision, watchWait)
+	changes, next, err := g.config.Feed.WaitForChanges(ctx, "", revision, watchWait)
 	if err != nil {
 		return revision, err
 	}
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -156,7 +156,7 @@
 }
 
 func settle(r Record, value []byte, result platform.CreateResult) error {
-	if result.Won || bytes.Equal(result.Existing.Value, value) {
+	if result.Created || bytes.Equal(result.Existing.Value, value) {
 		return nil
 	}
 	var winner Record
@@ -180,7 +180,7 @@
 	if found && (json.Unmarshal(entry.Value, &old) != nil || old.Record.Number >= s.Record.Number) {
 		return
 	}
-	_, _ = a.store.Swap(ctx, SnapshotKey, value, entry.Revision)
+	_, _ = a.store.CompareAndSwap(ctx, SnapshotKey, value, entry.Revision)
 }
 
 // Walk checks the whole chain in the store from the first note on, and returns its head and the hash of every record.
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -71,10 +71,10 @@
 		s.lose--
 		return platform.CreateResult{}, platform.ErrUnavailable.New("lost")
 	}
-	return platform.CreateResult{Won: !found, Existing: platform.Entry{Key: key, Value: existing}}, nil
+	return platform.CreateResult{Created: !found, Existing: platform.Entry{Key: key, Value: existing}}, nil
 }
 
-func (s *fakeStore) Swap(_ context.Context, key string, value []byte, _ int64) (bool, error) {
+func (s *fakeStore) CompareAndSwap(_ context.Context, key string, value []byte, _ int64) (bool, error) {
 	s.keys[key] = value
 	return true, nil
 }
--- a/internal/platform/etcd.go
+++ b/internal/platform/etcd.go
@@ -97,11 +97,11 @@
 // Create implements Store.
 func (e *Etcd) Create(ctx context.Context, key string, value []byte, lease LeaseID) (CreateResult, error) {
 	won, existing, err := e.putIf(ctx, key, value, lease, 0)
-	return CreateResult{Won: won, Existing: existing}, err
+	return CreateResult{Created: won, Existing: existing}, err
 }
 
-// Swap implements Store.
-func (e *Etcd) Swap(ctx context.Context, key string, value []byte, revision int64) (bool, error) {
+// CompareAndSwap implements Store.
+func (e *Etcd) CompareAndSwap(ctx context.Context, key string, value []byte, revision int64) (bool, error) {
 	won, _, err := e.putIf(ctx, key, value, 0, revision)
 	return won, err
 }
@@ -150,8 +150,8 @@
 	return false, existing, err
 }
 
-// Lease implements Store.
-func (e *Etcd) Lease(ctx context.Context, length time.Duration) (LeaseID, error) {
+// GrantLease implements Store.
+func (e *Etcd) GrantLease(ctx context.Context, length time.Duration) (LeaseID, error) {
 	var answer struct {
 		ID int64 `json:"ID,string"`
 	}
@@ -172,7 +172,7 @@
 		ID int64 `json:"ID,string"`
 	}{int64(lease)}, &answer)
 	if err == nil && answer.Result.TTL <= 0 {
-		return ErrLeaseGone.New("lease %d has lapsed; ask for a new one", lease)
+		return ErrLeaseExpired.New("lease %d has lapsed; ask for a new one", lease)
 	}
 	return err
 }
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -14,13 +14,13 @@
 	Deleted bool
 }
 
-// Feed reads a part of the store whole and then follows its changes.
+// WatchableStore reads a part of the store whole and then follows its changes.
 // Every error is ErrUnavailable or ErrCompacted.
-type Feed interface {
+type WatchableStore interface {
 	// Snapshot returns all entries under prefix and the revision from which to follow changes.
 	Snapshot(ctx context.Context, prefix string) (entries []Entry, revision int64, err error)
-	// Follow waits up to wait for changes after a revision and returns them with the revision to go on from.
-	Follow(ctx context.Context, prefix string, after int64, wait time.Duration) (changes []Change, revision int64, err error)
+	// WaitForChanges waits up to wait for changes after a revision and returns them with the revision to go on from.
+	WaitForChanges(ctx context.Context, prefix string, after int64, wait time.Duration) (changes []Change, revision int64, err error)
 	// Write sets and removes keys in one step, whatever they held.
 	Write(ctx context.Context, set []Entry, remove []string) error
 }
--- a/internal/platform/standin/calls.go
+++ b/internal/platform/standin/calls.go
@@ -22,7 +22,7 @@
 	KVs []keyValue `json:"kvs,omitempty"`
 }
 
-func (s *Standin) serveRange(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRange(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Key       []byte `json:"key"`
 		RangeEnd  []byte `json:"range_end"`
@@ -33,7 +33,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.expireLeases()
+	s.endExpiredLeases()
 	keys := s.keysBetween(string(request.Key), string(request.RangeEnd))
 	if request.SortOrder == "DESCEND" {
 		slices.Reverse(keys)
@@ -53,7 +53,7 @@
 	reply(w, answer)
 }
 
-func (s *Standin) serveTxn(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Compare []struct {
 			Key         []byte `json:"key"`
@@ -89,7 +89,7 @@
 	apply := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.expireLeases()
+		s.endExpiredLeases()
 		v, found := s.current(string(compare.Key), 0)
 		if found && v.revision == compare.ModRevision || !found && compare.ModRevision == 0 {
 			s.put(string(put.Key), put.Value, put.Lease)
@@ -102,19 +102,19 @@
 		}
 		answer.Responses = []response{{existing}}
 	}
-	if s.spend(func(f *Faults) *int { return &f.LateWrites }) {
+	if s.spend(func(f *Faults) *int { return &f.DelayedWrites }) {
 		time.AfterFunc(s.lateBy(), apply)
 		panic(http.ErrAbortHandler)
 	}
 	apply()
-	if s.spend(func(f *Faults) *int { return &f.LoseConfirmations }) {
+	if s.spend(func(f *Faults) *int { return &f.DropWriteResponses }) {
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, answer)
 }
 
 // spend uses up one of a counted fault and reports whether there was one.
-func (s *Standin) spend(fault func(*Faults) *int) bool {
+func (s *Server) spend(fault func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left := fault(&s.faults)
@@ -125,13 +125,13 @@
 	return true
 }
 
-func (s *Standin) lateBy() time.Duration {
+func (s *Server) lateBy() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults.LateBy
+	return s.faults.WriteDelay
 }
 
-func (s *Standin) serveGrant(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveGrant(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		TTL int64 `json:"TTL,string"`
 	}
@@ -149,7 +149,7 @@
 	}{id, request.TTL})
 }
 
-func (s *Standin) serveKeepAlive(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveKeepAlive(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		ID int64 `json:"ID,string"`
 	}
@@ -164,7 +164,7 @@
 		Result result `json:"result"`
 	}{result{ID: request.ID}}
 	s.mu.Lock()
-	s.expireLeases()
+	s.endExpiredLeases()
 	if until, held := s.leases[request.ID]; held {
 		answer.Result.TTL = max(1, int64(time.Until(until)/time.Second))
 	}
@@ -172,7 +172,7 @@
 	reply(w, answer)
 }
 
-func (s *Standin) serveRevoke(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRevoke(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		ID int64 `json:"ID,string"`
 	}
@@ -185,7 +185,7 @@
 	reply(w, struct{}{})
 }
 
-func (s *Standin) serveWatch(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		CreateRequest struct {
 			Key      []byte `json:"key"`
@@ -231,7 +231,7 @@
 	}
 }
 
-func (s *Standin) serveHosts(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveHosts(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	hosts := slices.Clone(s.hosts)
 	etag := strconv.Quote(strconv.FormatInt(s.hostsVersion, 10))
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -12,18 +12,18 @@
 	"briarcroft/internal/platform"
 )
 
-// Call names one kind of call that the platform counts.
-type Call string
+// CallKind names one kind of call that the platform counts.
+type CallKind string
 
 // The kinds of call.
 const (
-	CallRange     Call = "Range"
-	CallTxn       Call = "Txn"
-	CallGrant     Call = "Grant"
-	CallKeepAlive Call = "KeepAlive"
-	CallRevoke    Call = "Revoke"
-	CallWatch     Call = "Watch"
-	CallHosts     Call = "Hosts"
+	CallRange     CallKind = "Range"
+	CallTxn       CallKind = "Txn"
+	CallGrant     CallKind = "Grant"
+	CallKeepAlive CallKind = "KeepAlive"
+	CallRevoke    CallKind = "Revoke"
+	CallWatch     CallKind = "Watch"
+	CallHosts     CallKind = "Hosts"
 )
 
 // Faults are the failures in force; the zero value is a healthy service.
@@ -32,15 +32,15 @@
 	Down bool
 	// Delay holds each call back.
 	Delay time.Duration
-	// LoseConfirmations applies writes and drops the connection instead of answering, for so many writes.
-	LoseConfirmations int
-	// LateWrites drops the connection at once and applies the write LateBy afterwards, for so many writes.
-	LateWrites int
-	LateBy     time.Duration
+	// DropWriteResponses applies writes and drops the connection instead of answering, for so many writes.
+	DropWriteResponses int
+	// DelayedWrites drops the connection at once and applies the write WriteDelay afterwards, for so many writes.
+	DelayedWrites int
+	WriteDelay    time.Duration
 	// StaleRevision serves reads as of that revision when above zero.
 	StaleRevision int64
-	// SilentWatches keeps watches open without telling them of changes.
-	SilentWatches bool
+	// SuppressWatchEvents keeps watches open without telling them of changes.
+	SuppressWatchEvents bool
 }
 
 type version struct {
@@ -55,8 +55,8 @@
 	events    chan platform.Entry
 }
 
-// Standin is the service's state and its HTTP handler.
-type Standin struct {
+// Server is the service's state and its HTTP handler.
+type Server struct {
 	mu       sync.Mutex
 	revision int64
 	keys     map[string][]version
@@ -66,15 +66,15 @@
 	// hostsVersion counts the changes of the list.
 	hostsVersion int64
 	faults       Faults
-	calls        map[Call]int64
+	calls        map[CallKind]int64
 	mux          *http.ServeMux
 }
 
 // New returns an empty healthy service.
-func New() *Standin {
-	s := &Standin{
+func New() *Server {
+	s := &Server{
 		keys: map[string][]version{}, leases: map[int64]time.Time{}, watches: map[*watch]bool{},
-		calls: map[Call]int64{}, mux: http.NewServeMux(),
+		calls: map[CallKind]int64{}, mux: http.NewServeMux(),
 	}
 	s.handle("POST /v3/kv/range", CallRange, s.serveRange)
 	s.handle("POST /v3/kv/txn", CallTxn, s.serveTxn)
@@ -87,17 +87,17 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 // SetFaults replaces the faults in force.
-func (s *Standin) SetFaults(f Faults) {
+func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // SetHosts replaces the host list.
-func (s *Standin) SetHosts(hosts []platform.ListedHost) {
+func (s *Server) SetHosts(hosts []platform.ListedHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = hosts
@@ -105,10 +105,10 @@
 }
 
 // Calls returns the number of calls of each kind so far.
-func (s *Standin) Calls() map[Call]int64 {
+func (s *Server) Calls() map[CallKind]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := map[Call]int64{}
+	counts := map[CallKind]int64{}
 	for call, n := range s.calls {
 		counts[call] = n
 	}
@@ -116,14 +116,14 @@
 }
 
 // Revision returns the revision of the newest write.
-func (s *Standin) Revision() int64 {
+func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// LapseLeases ends every lease now, with the keys attached to it.
-func (s *Standin) LapseLeases() {
+// ExpireLeases ends every lease now, with the keys attached to it.
+func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *Standin) handle(pattern string, call Call, handler http.HandlerFunc) {
+func (s *Server) handle(pattern string, call CallKind, handler http.HandlerFunc) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls[call]++
@@ -152,7 +152,7 @@
 	})
 }
 
-func (s *Standin) endLease(id int64) {
+func (s *Server) endLease(id int64) {
 	delete(s.leases, id)
 	for key, versions := range s.keys {
 		if last := versions[len(versions)-1]; last.lease == id && !last.deleted {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (s *Standin) expireLeases() {
+func (s *Server) endExpiredLeases() {
 	now := time.Now()
 	for id, until := range s.leases {
 		if now.After(until) {
@@ -172,7 +172,7 @@
 }
 
 // current returns the newest version of a key at or below a revision; revision 0 means now.
-func (s *Standin) current(key string, revision int64) (version, bool) {
+func (s *Server) current(key string, revision int64) (version, bool) {
 	versions := s.keys[key]
 	for i := len(versions) - 1; i >= 0; i-- {
 		if revision == 0 || versions[i].revision <= revision {
@@ -182,10 +182,10 @@
 	return version{}, false
 }
 
-func (s *Standin) put(key string, value []byte, lease int64) {
+func (s *Server) put(key string, value []byte, lease int64) {
 	s.revision++
 	s.keys[key] = append(s.keys[key], version{revision: s.revision, value: value, lease: lease})
-	if s.faults.SilentWatches {
+	if s.faults.SuppressWatchEvents {
 		return
 	}
 	for w := range s.watches {
@@ -201,7 +201,7 @@
 	}
 }
 
-func (s *Standin) keysBetween(from, end string) []string {
+func (s *Server) keysBetween(from, end string) []string {
 	var keys []string
 	for key := range s.keys {
 		if key == from || (end != "" && key >= from && key < end) {
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -13,8 +13,8 @@
 // ErrUnavailable reports that the service gave no usable answer; a write may still take effect.
 var ErrUnavailable = namespace.NewType("unavailable", errorx.Timeout())
 
-// ErrLeaseGone reports a lease that has lapsed; ask for a new one.
-var ErrLeaseGone = namespace.NewType("lease_gone")
+// ErrLeaseExpired reports a lease that has lapsed; ask for a new one.
+var ErrLeaseExpired = namespace.NewType("lease_gone")
 
 // Entry is one key and its value; Revision is the store revision that wrote it.
 type Entry struct {
@@ -25,7 +25,7 @@
 
 // CreateResult tells how a create-if-absent ended; Existing holds the other value when Won is false.
 type CreateResult struct {
-	Won      bool
+	Created  bool
 	Existing Entry
 }
 
@@ -33,7 +33,7 @@
 type LeaseID int64
 
 // Store is the platform's key-value service.
-// Every error is ErrUnavailable or ErrLeaseGone.
+// Every error is ErrUnavailable or ErrLeaseExpired.
 type Store interface {
 	// Get returns the entry of a key; found is false when it is absent.
 	Get(ctx context.Context, key string) (entry Entry, found bool, err error)
@@ -43,10 +43,10 @@
 	Last(ctx context.Context, prefix string) (entry Entry, found bool, err error)
 	// Create writes a key only if it is absent.
 	Create(ctx context.Context, key string, value []byte, lease LeaseID) (CreateResult, error)
-	// Swap writes a key only if its revision is still the given one; revision 0 means absent.
-	Swap(ctx context.Context, key string, value []byte, revision int64) (swapped bool, err error)
-	// Lease asks for a lease of the given length.
-	Lease(ctx context.Context, length time.Duration) (LeaseID, error)
+	// CompareAndSwap writes a key only if its revision is still the given one; revision 0 means absent.
+	CompareAndSwap(ctx context.Context, key string, value []byte, revision int64) (swapped bool, err error)
+	// GrantLease asks for a lease of the given length.
+	GrantLease(ctx context.Context, length time.Duration) (LeaseID, error)
 	// KeepAlive renews a lease.
 	KeepAlive(ctx context.Context, lease LeaseID) error
 	// Watch calls changed for each write under prefix until the context or the connection ends.
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -123,7 +123,7 @@
 }
 
 func (f *fleet) register(s *server, state string) {
-	f.store.Put("servers/"+s.Name, s.Entry("stock", state))
+	f.store.Put("servers/"+s.Name, s.StoreValue("stock", state))
 }
 
 // configure writes a configuration; each version allows all that the ones before it do.
@@ -165,7 +165,7 @@
 func (f *fleet) addHost(name, domain string) {
 	p := &process{name: name, front: ownAddress(), ready: ownAddress(), directory: ownAddress(), file: filepath.Join(f.dir, name+".ini")}
 	inner := ownAddress()
-	p.peers, p.store = f.relay(inner), f.relay(f.serve(f.store.For(name)))
+	p.peers, p.store = f.relay(inner), f.relay(f.serve(f.store.HandlerFor(name)))
 	seeds := ""
 	if len(f.hosts) > 0 {
 		seeds = "[Peers]\nSeeds = " + f.hosts[0].peers.address() + "\n"
@@ -251,7 +251,7 @@
 func (f *fleet) runsOf(id string) int {
 	sum := 0
 	for _, s := range f.targets {
-		sum += s.RunsOf(id)
+		sum += s.RunCount(id)
 	}
 	return sum
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -369,11 +369,11 @@
 	case 0:
 		return "StoreRefuses", during(standin.Faults{Status: http.StatusServiceUnavailable})
 	case 1:
-		return "StoreSilent", during(standin.Faults{Silent: true})
+		return "StoreSilent", during(standin.Faults{Unresponsive: true})
 	case 2:
 		return "StoreSlow", during(standin.Faults{Delay: r.between(50*time.Millisecond, 2*time.Second)})
 	case 3:
-		return "StoreLosesAnswers", during(standin.Faults{LoseAnswers: true})
+		return "StoreLosesAnswers", during(standin.Faults{DropWriteResponses: true})
 	case 4:
 		return "StoreForgetsHistory", r.store.Compact
 	}
@@ -390,23 +390,23 @@
 	s, pause := r.targets[r.intN(len(r.targets))], r.between(50*time.Millisecond, 3*time.Second)
 	during := func(change func(t *standin.Target, on bool)) func() {
 		return func() {
-			s.Set(func(t *standin.Target) { change(t, true) })
+			s.Update(func(t *standin.Target) { change(t, true) })
 			time.Sleep(pause)
-			s.Set(func(t *standin.Target) { change(t, false) })
+			s.Update(func(t *standin.Target) { change(t, false) })
 		}
 	}
 	switch r.intN(6) {
 	case 0:
-		return "TargetLosesAnswers", during(func(t *standin.Target, on bool) { t.Lose = on })
+		return "TargetLosesAnswers", during(func(t *standin.Target, on bool) { t.DropResponses = on })
 	case 1:
-		return "TargetCutsAnswers", during(func(t *standin.Target, on bool) { t.Cut = on })
+		return "TargetCutsAnswers", during(func(t *standin.Target, on bool) { t.TruncateResponses = on })
 	case 2:
-		return "TargetSheds", during(func(t *standin.Target, on bool) { t.Shed = on })
+		return "TargetSheds", during(func(t *standin.Target, on bool) { t.RefuseRuns = on })
 	case 3:
 		return "TargetSlow", during(func(t *standin.Target, on bool) {
-			t.Work = 50 * time.Millisecond
+			t.RunDuration = 50 * time.Millisecond
 			if on {
-				t.Work = 700 * time.Millisecond
+				t.RunDuration = 700 * time.Millisecond
 			}
 		})
 	case 4:
