--- a/internal/platform/etcd.go
+++ b/internal/platform/etcd.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// maxAnswerBytes bounds one answer of the store; values are at most a megabyte.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds one answer of the store; values are at most a megabyte.
+const maxResponseBytes = 64 << 20
 
 // Etcd is a Store that speaks the JSON form of etcd's v3 protocol.
 type Etcd struct {
@@ -46,29 +46,29 @@
 	return Entry{Key: string(k.Key), Value: k.Value, Revision: k.ModRevision}
 }
 
-type rangeAnswer struct {
+type rangeResponse struct {
 	KVs []keyValue `json:"kvs"`
 }
 
 // Get implements Store.
 func (e *Etcd) Get(ctx context.Context, key string) (Entry, bool, error) {
-	var answer rangeAnswer
+	var response rangeResponse
 	err := e.call(ctx, "/v3/kv/range", struct {
 		Key []byte `json:"key"`
-	}{[]byte(key)}, &answer)
-	return first(answer, err)
+	}{[]byte(key)}, &response)
+	return firstEntry(response, err)
 }
 
 // Range implements Store.
 func (e *Etcd) Range(ctx context.Context, prefix, from string, limit int) ([]Entry, error) {
-	var answer rangeAnswer
+	var response rangeResponse
 	err := e.call(ctx, "/v3/kv/range", struct {
 		Key      []byte `json:"key"`
 		RangeEnd []byte `json:"range_end"`
 		Limit    int    `json:"limit"`
-	}{[]byte(max(prefix, from)), prefixEnd(prefix), limit}, &answer)
+	}{[]byte(max(prefix, from)), prefixEnd(prefix), limit}, &response)
 	var entries []Entry
-	for _, kv := range answer.KVs {
+	for _, kv := range response.KVs {
 		entries = append(entries, kv.entry())
 	}
 	return entries, err
@@ -76,37 +76,37 @@
 
 // Last implements Store.
 func (e *Etcd) Last(ctx context.Context, prefix string) (Entry, bool, error) {
-	var answer rangeAnswer
+	var response rangeResponse
 	err := e.call(ctx, "/v3/kv/range", struct {
 		Key        []byte `json:"key"`
 		RangeEnd   []byte `json:"range_end"`
 		Limit      int    `json:"limit"`
 		SortOrder  string `json:"sort_order"`
 		SortTarget string `json:"sort_target"`
-	}{[]byte(prefix), prefixEnd(prefix), 1, "DESCEND", "KEY"}, &answer)
-	return first(answer, err)
+	}{[]byte(prefix), prefixEnd(prefix), 1, "DESCEND", "KEY"}, &response)
+	return firstEntry(response, err)
 }
 
-func first(answer rangeAnswer, err error) (Entry, bool, error) {
-	if err != nil || len(answer.KVs) == 0 {
+func firstEntry(response rangeResponse, err error) (Entry, bool, error) {
+	if err != nil || len(response.KVs) == 0 {
 		return Entry{}, false, err
 	}
-	return answer.KVs[0].entry(), true, nil
+	return response.KVs[0].entry(), true, nil
 }
 
 // Create implements Store.
 func (e *Etcd) Create(ctx context.Context, key string, value []byte, lease LeaseID) (CreateResult, error) {
-	won, existing, err := e.putIf(ctx, key, value, lease, 0)
-	return CreateResult{Created: won, Existing: existing}, err
+	written, existing, err := e.putIfRevision(ctx, key, value, lease, 0)
+	return CreateResult{Created: written, Existing: existing}, err
 }
 
 // CompareAndSwap implements Store.
 func (e *Etcd) CompareAndSwap(ctx context.Context, key string, value []byte, revision int64) (bool, error) {
-	won, _, err := e.putIf(ctx, key, value, 0, revision)
-	return won, err
+	written, _, err := e.putIfRevision(ctx, key, value, 0, revision)
+	return written, err
 }
 
-func (e *Etcd) putIf(ctx context.Context, key string, value []byte, lease LeaseID, revision int64) (bool, Entry, error) {
+func (e *Etcd) putIfRevision(ctx context.Context, key string, value []byte, lease LeaseID, revision int64) (bool, Entry, error) {
 	type compare struct {
 		Key         []byte `json:"key"`
 		Target      string `json:"target"`
@@ -134,51 +134,51 @@
 		[]operation{{RequestPut: &put{[]byte(key), value, int64(lease)}}},
 		[]operation{{RequestRange: &get{[]byte(key)}}},
 	}
-	var answer struct {
+	var response struct {
 		Succeeded bool `json:"succeeded"`
 		Responses []struct {
-			ResponseRange *rangeAnswer `json:"response_range"`
+			ResponseRange *rangeResponse `json:"response_range"`
 		} `json:"responses"`
 	}
-	if err := e.call(ctx, "/v3/kv/txn", request, &answer); err != nil {
+	if err := e.call(ctx, "/v3/kv/txn", request, &response); err != nil {
 		return false, Entry{}, err
 	}
-	if answer.Succeeded || len(answer.Responses) == 0 || answer.Responses[0].ResponseRange == nil {
-		return answer.Succeeded, Entry{}, nil
+	if response.Succeeded || len(response.Responses) == 0 || response.Responses[0].ResponseRange == nil {
+		return response.Succeeded, Entry{}, nil
 	}
-	existing, _, err := first(*answer.Responses[0].ResponseRange, nil)
+	existing, _, err := firstEntry(*response.Responses[0].ResponseRange, nil)
 	return false, existing, err
 }
 
 // GrantLease implements Store.
 func (e *Etcd) GrantLease(ctx context.Context, length time.Duration) (LeaseID, error) {
-	var answer struct {
+	var response struct {
 		ID int64 `json:"ID,string"`
 	}
 	err := e.call(ctx, "/v3/lease/grant", struct {
 		TTL int64 `json:"TTL,string"`
-	}{int64(length / time.Second)}, &answer)
-	return LeaseID(answer.ID), err
+	}{int64(length / time.Second)}, &response)
+	return LeaseID(response.ID), err
 }
 
 // KeepAlive implements Store.
 func (e *Etcd) KeepAlive(ctx context.Context, lease LeaseID) error {
-	var answer struct {
+	var response struct {
 		Result struct {
 			TTL int64 `json:"TTL,string"`
 		} `json:"result"`
 	}
 	err := e.call(ctx, "/v3/lease/keepalive", struct {
 		ID int64 `json:"ID,string"`
-	}{int64(lease)}, &answer)
-	if err == nil && answer.Result.TTL <= 0 {
+	}{int64(lease)}, &response)
+	if err == nil && response.Result.TTL <= 0 {
 		return ErrLeaseExpired.New("lease %d has lapsed; ask for a new one", lease)
 	}
 	return err
 }
 
 // Watch implements Store.
-func (e *Etcd) Watch(ctx context.Context, prefix string, changed func(Entry)) error {
+func (e *Etcd) Watch(ctx context.Context, prefix string, onWrite func(Entry)) error {
 	type create struct {
 		Key      []byte `json:"key"`
 		RangeEnd []byte `json:"range_end"`
@@ -205,13 +205,13 @@
 		}
 		for _, event := range message.Result.Events {
 			if event.Type == "" || event.Type == "PUT" {
-				changed(event.KV.entry())
+				onWrite(event.KV.entry())
 			}
 		}
 	}
 }
 
-func (e *Etcd) call(ctx context.Context, path string, request, answer any) error {
+func (e *Etcd) call(ctx context.Context, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 	body, err := e.post(ctx, path, request)
@@ -219,18 +219,18 @@
 		return err
 	}
 	defer body.Close()
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(response); err != nil {
 		return ErrUnavailable.New("%s: answer was cut or is not JSON (%v); read the key again", path, err)
 	}
 	return nil
 }
 
 func (e *Etcd) post(ctx context.Context, path string, request any) (io.ReadCloser, error) {
-	text, err := json.Marshal(request)
+	data, err := json.Marshal(request)
 	if err != nil {
 		return nil, ErrUnavailable.New("%s: %v", path, err)
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url+path, bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, ErrUnavailable.New("%s: %v; check [Platform] Store", path, err)
 	}
--- a/internal/platform/hostlist.go
+++ b/internal/platform/hostlist.go
@@ -75,10 +75,10 @@
 	if response.StatusCode == http.StatusNotModified {
 		return h.hosts, nil
 	}
-	var list struct{ Hosts []ListedHost }
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(&list); err != nil {
+	var body struct{ Hosts []ListedHost }
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&body); err != nil {
 		return nil, ErrUnavailable.New("host list: status %d, %v; the last list stays in use", response.StatusCode, err)
 	}
-	h.etag, h.hosts = response.Header.Get("ETag"), list.Hosts
-	return list.Hosts, nil
+	h.etag, h.hosts = response.Header.Get("ETag"), body.Hosts
+	return body.Hosts, nil
 }
--- a/internal/platform/standin/calls.go
+++ b/internal/platform/standin/calls.go
@@ -18,7 +18,7 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-type rangeAnswer struct {
+type rangeResponse struct {
 	KVs []keyValue `json:"kvs,omitempty"`
 }
 
@@ -29,7 +29,7 @@
 		Limit     int    `json:"limit"`
 		SortOrder string `json:"sort_order"`
 	}
-	if !read(w, r, &request) {
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	s.mu.Lock()
@@ -38,19 +38,19 @@
 	if request.SortOrder == "DESCEND" {
 		slices.Reverse(keys)
 	}
-	var answer rangeAnswer
+	var response rangeResponse
 	for _, key := range keys {
-		v, found := s.current(key, s.faults.StaleRevision)
+		v, found := s.versionAt(key, s.faults.StaleRevision)
 		if !found {
 			continue
 		}
-		answer.KVs = append(answer.KVs, keyValue{[]byte(key), v.value, v.revision})
-		if request.Limit > 0 && len(answer.KVs) == request.Limit {
+		response.KVs = append(response.KVs, keyValue{[]byte(key), v.value, v.revision})
+		if request.Limit > 0 && len(response.KVs) == request.Limit {
 			break
 		}
 	}
 	s.mu.Unlock()
-	reply(w, answer)
+	writeJSON(w, response)
 }
 
 func (s *Server) serveTxn(w http.ResponseWriter, r *http.Request) {
@@ -67,7 +67,7 @@
 			} `json:"request_put"`
 		} `json:"success"`
 	}
-	if !read(w, r, &request) {
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	if len(request.Compare) != 1 || len(request.Success) != 1 {
@@ -79,53 +79,53 @@
 		http.Error(w, "value is above one megabyte", http.StatusBadRequest)
 		return
 	}
-	type response struct {
-		ResponseRange *rangeAnswer `json:"response_range,omitempty"`
+	type operationResponse struct {
+		ResponseRange *rangeResponse `json:"response_range,omitempty"`
 	}
-	var answer struct {
-		Succeeded bool       `json:"succeeded"`
-		Responses []response `json:"responses"`
+	var response struct {
+		Succeeded bool                `json:"succeeded"`
+		Responses []operationResponse `json:"responses"`
 	}
 	apply := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.endExpiredLeases()
-		v, found := s.current(string(compare.Key), 0)
+		v, found := s.versionAt(string(compare.Key), 0)
 		if found && v.revision == compare.ModRevision || !found && compare.ModRevision == 0 {
 			s.put(string(put.Key), put.Value, put.Lease)
-			answer.Succeeded = true
+			response.Succeeded = true
 			return
 		}
-		existing := &rangeAnswer{}
+		existing := &rangeResponse{}
 		if found {
 			existing.KVs = []keyValue{{compare.Key, v.value, v.revision}}
 		}
-		answer.Responses = []response{{existing}}
+		response.Responses = []operationResponse{{existing}}
 	}
-	if s.spend(func(f *Faults) *int { return &f.DelayedWrites }) {
-		time.AfterFunc(s.lateBy(), apply)
+	if s.consumeFault(func(f *Faults) *int { return &f.DelayedWrites }) {
+		time.AfterFunc(s.writeDelay(), apply)
 		panic(http.ErrAbortHandler)
 	}
 	apply()
-	if s.spend(func(f *Faults) *int { return &f.DropWriteResponses }) {
+	if s.consumeFault(func(f *Faults) *int { return &f.DropWriteResponses }) {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, answer)
+	writeJSON(w, response)
 }
 
-// spend uses up one of a counted fault and reports whether there was one.
-func (s *Server) spend(fault func(*Faults) *int) bool {
+// consumeFault uses up one of a counted fault and reports whether there was one.
+func (s *Server) consumeFault(fault func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := fault(&s.faults)
-	if *left == 0 {
+	remaining := fault(&s.faults)
+	if *remaining == 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
-func (s *Server) lateBy() time.Duration {
+func (s *Server) writeDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.WriteDelay
@@ -135,7 +135,7 @@
 	var request struct {
 		TTL int64 `json:"TTL,string"`
 	}
-	if !read(w, r, &request) {
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	s.mu.Lock()
@@ -143,7 +143,7 @@
 	id := s.revision
 	s.leases[id] = time.Now().Add(time.Duration(request.TTL) * time.Second)
 	s.mu.Unlock()
-	reply(w, struct {
+	writeJSON(w, struct {
 		ID  int64 `json:"ID,string"`
 		TTL int64 `json:"TTL,string"`
 	}{id, request.TTL})
@@ -153,36 +153,36 @@
 	var request struct {
 		ID int64 `json:"ID,string"`
 	}
-	if !read(w, r, &request) {
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	type result struct {
 		ID  int64 `json:"ID,string"`
 		TTL int64 `json:"TTL,string"`
 	}
-	answer := struct {
+	response := struct {
 		Result result `json:"result"`
 	}{result{ID: request.ID}}
 	s.mu.Lock()
 	s.endExpiredLeases()
-	if until, held := s.leases[request.ID]; held {
-		answer.Result.TTL = max(1, int64(time.Until(until)/time.Second))
+	if expiry, found := s.leases[request.ID]; found {
+		response.Result.TTL = max(1, int64(time.Until(expiry)/time.Second))
 	}
 	s.mu.Unlock()
-	reply(w, answer)
+	writeJSON(w, response)
 }
 
 func (s *Server) serveRevoke(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		ID int64 `json:"ID,string"`
 	}
-	if !read(w, r, &request) {
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	s.mu.Lock()
 	s.endLease(request.ID)
 	s.mu.Unlock()
-	reply(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -192,7 +192,7 @@
 			RangeEnd []byte `json:"range_end"`
 		} `json:"create_request"`
 	}
-	if !read(w, r, &request) {
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	watcher := &watch{string(request.CreateRequest.Key), string(request.CreateRequest.RangeEnd), make(chan platform.Entry, 256)}
@@ -215,7 +215,7 @@
 	}{}
 	flusher := http.NewResponseController(w)
 	for {
-		reply(w, message)
+		writeJSON(w, message)
 		if flusher.Flush() != nil {
 			return
 		}
@@ -241,5 +241,5 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	reply(w, struct{ Hosts []platform.ListedHost }{hosts})
+	writeJSON(w, struct{ Hosts []platform.ListedHost }{hosts})
 }
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -43,7 +43,7 @@
 	SuppressWatchEvents bool
 }
 
-type version struct {
+type keyVersion struct {
 	revision int64
 	value    []byte
 	lease    int64
@@ -51,15 +51,15 @@
 }
 
 type watch struct {
-	from, end string
-	events    chan platform.Entry
+	start, end string
+	events     chan platform.Entry
 }
 
 // Server is the service's state and its HTTP handler.
 type Server struct {
 	mu       sync.Mutex
 	revision int64
-	keys     map[string][]version
+	keys     map[string][]keyVersion
 	leases   map[int64]time.Time
 	watches  map[*watch]bool
 	hosts    []platform.ListedHost
@@ -73,7 +73,7 @@
 // New returns an empty healthy service.
 func New() *Server {
 	s := &Server{
-		keys: map[string][]version{}, leases: map[int64]time.Time{}, watches: map[*watch]bool{},
+		keys: map[string][]keyVersion{}, leases: map[int64]time.Time{}, watches: map[*watch]bool{},
 		calls: map[CallKind]int64{}, mux: http.NewServeMux(),
 	}
 	s.handle("POST /v3/kv/range", CallRange, s.serveRange)
@@ -157,39 +157,39 @@
 	for key, versions := range s.keys {
 		if last := versions[len(versions)-1]; last.lease == id && !last.deleted {
 			s.revision++
-			s.keys[key] = append(versions, version{revision: s.revision, deleted: true})
+			s.keys[key] = append(versions, keyVersion{revision: s.revision, deleted: true})
 		}
 	}
 }
 
 func (s *Server) endExpiredLeases() {
 	now := time.Now()
-	for id, until := range s.leases {
-		if now.After(until) {
+	for id, expiry := range s.leases {
+		if now.After(expiry) {
 			s.endLease(id)
 		}
 	}
 }
 
-// current returns the newest version of a key at or below a revision; revision 0 means now.
-func (s *Server) current(key string, revision int64) (version, bool) {
+// versionAt returns the newest version of a key at or below a revision; revision 0 means now.
+func (s *Server) versionAt(key string, revision int64) (keyVersion, bool) {
 	versions := s.keys[key]
 	for i := len(versions) - 1; i >= 0; i-- {
 		if revision == 0 || versions[i].revision <= revision {
 			return versions[i], !versions[i].deleted
 		}
 	}
-	return version{}, false
+	return keyVersion{}, false
 }
 
 func (s *Server) put(key string, value []byte, lease int64) {
 	s.revision++
-	s.keys[key] = append(s.keys[key], version{revision: s.revision, value: value, lease: lease})
+	s.keys[key] = append(s.keys[key], keyVersion{revision: s.revision, value: value, lease: lease})
 	if s.faults.SuppressWatchEvents {
 		return
 	}
 	for w := range s.watches {
-		if key < w.from || key >= w.end {
+		if key < w.start || key >= w.end {
 			continue
 		}
 		select {
@@ -201,10 +201,10 @@
 	}
 }
 
-func (s *Server) keysBetween(from, end string) []string {
+func (s *Server) keysBetween(start, end string) []string {
 	var keys []string
 	for key := range s.keys {
-		if key == from || (end != "" && key >= from && key < end) {
+		if key == start || (end != "" && key >= start && key < end) {
 			keys = append(keys, key)
 		}
 	}
@@ -212,14 +212,14 @@
 	return keys
 }
 
-func reply(w http.ResponseWriter, answer any) {
+func writeJSON(w http.ResponseWriter, response any) {
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(answer); err != nil {
+	if err := json.NewEncoder(w).Encode(response); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func read(w http.ResponseWriter, r *http.Request, request any) bool {
+func decodeRequest(w http.ResponseWriter, r *http.Request, request any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4<<20)).Decode(request); err != nil {
 		http.Error(w, "request is not valid JSON: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
 		return false
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -50,5 +50,5 @@
 	// KeepAlive renews a lease.
 	KeepAlive(ctx context.Context, lease LeaseID) error
 	// Watch calls changed for each write under prefix until the context or the connection ends.
-	Watch(ctx context.Context, prefix string, changed func(Entry)) error
+	Watch(ctx context.Context, prefix string, onWrite func(Entry)) error
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -23,8 +23,8 @@
 
 // Times of the fleet.
 const (
-	// patience bounds the wait for what must come; it decides nothing else.
-	patience = 30 * time.Second
+	// waitTimeout bounds the wait for what must come; it decides nothing else.
+	waitTimeout = 30 * time.Second
 	// stopTimeout is how long a host may take to stop gracefully.
 	stopTimeout = 4 * time.Second
 )
@@ -37,35 +37,35 @@
 	dir     string
 	store   *standin.Store
 	hosts   []*process
-	targets []*server
-	caller  *http.Client
+	targets []*backendServer
+	client  *http.Client
 }
 
-// server is one backend server behind its relay.
-type server struct {
+// backendServer is one backend server behind its relay.
+type backendServer struct {
 	*standin.Target
 	relay *relay
 }
 
 // process is one gateway and what it is reached by.
 type process struct {
-	name                    string
-	front, ready, directory string
-	// peers passes what peers send to the host, and store what the host sends to the store.
-	peers, store *relay
-	file         string
-	mu           sync.Mutex
-	command      *exec.Cmd
-	ended        chan struct{}
+	name                     string
+	listen, ready, directory string
+	// peerRelay passes what peers send to the host, and store what the host sends to the store.
+	peerRelay, storeRelay *relay
+	settingsFile          string
+	mu                    sync.Mutex
+	command               *exec.Cmd
+	exited                chan struct{}
 	// starts counts incarnations; troubled is set from a kill or pause, and stopping from a graceful stop, until the host is
 	// ready again.
-	starts   int
-	troubled bool
-	stopping bool
+	starts    int
+	disrupted bool
+	stopping  bool
 }
 
-// build makes the program that the processes run.
-func build(t *testing.T) string {
+// buildBinary makes the program that the processes run.
+func buildBinary(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "briarcroft")
 	out, err := exec.Command("go", "build", "-o", binary, "briarcroft/cmd/briarcroft").CombinedOutput()
 	if err != nil {
@@ -76,11 +76,11 @@
 
 // newFleet starts everything and waits until every host serves.
 func newFleet(t *testing.T, binary string, hosts, targets int) *fleet {
-	f := &fleet{t: t, is: is.New(t), binary: binary, dir: t.TempDir(), store: standin.New(), caller: &http.Client{
-		Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: patience,
+	f := &fleet{t: t, is: is.New(t), binary: binary, dir: t.TempDir(), store: standin.New(), client: &http.Client{
+		Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: waitTimeout,
 	}}
-	t.Cleanup(f.caller.CloseIdleConnections)
-	f.configure(1)
+	t.Cleanup(f.client.CloseIdleConnections)
+	f.writeConfiguration(1)
 	for i := range targets {
 		f.addTarget(fmt.Sprintf("t%d", i))
 	}
@@ -96,16 +96,16 @@
 	return f
 }
 
-// relay returns a relay that is closed when the test ends.
-func (f *fleet) relay(upstream string) *relay {
+// startRelay returns a relay that is closed when the test ends.
+func (f *fleet) startRelay(upstream string) *relay {
 	r, err := newRelay(upstream)
 	f.is.NoErr(err)
 	f.t.Cleanup(r.close)
 	return r
 }
 
-// serve runs a handler until the test ends and returns its address.
-func (f *fleet) serve(h http.Handler) string {
+// startServer runs a handler until the test ends and returns its address.
+func (f *fleet) startServer(h http.Handler) string {
 	s := httptest.NewServer(h)
 	f.t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -115,19 +115,19 @@
 }
 
 func (f *fleet) addTarget(name string) {
-	s := &server{Target: standin.NewTarget(name)}
-	s.relay = f.relay(f.serve(s.Target))
+	s := &backendServer{Target: standin.NewTarget(name)}
+	s.relay = f.startRelay(f.startServer(s.Target))
 	s.Address = s.relay.address()
 	f.targets = append(f.targets, s)
 	f.register(s, "ready")
 }
 
-func (f *fleet) register(s *server, state string) {
+func (f *fleet) register(s *backendServer, state string) {
 	f.store.Put("servers/"+s.Name, s.StoreValue("stock", state))
 }
 
-// configure writes a configuration; each version allows all that the ones before it do.
-func (f *fleet) configure(version int) {
+// writeConfiguration writes a configuration; each version allows all that the ones before it do.
+func (f *fleet) writeConfiguration(version int) {
 	rule := func(name, prefix, kind string) map[string]any {
 		return map[string]any{"name": name, "host": "www.example", "prefix": prefix, "kind": kind, "timeout-ms": 2000, "latency-goal-ms": 800,
 			"priority": 2, "service": "stock", "max-attempts": 2}
@@ -147,33 +147,33 @@
 
 // Numbers of own loopback addresses.
 const (
-	firstPort    = 7100
-	hostsPerPort = 250
+	firstPort        = 7100
+	addressesPerPort = 250
 )
 
-// addresses counts the addresses that this process has given out.
-var addresses atomic.Int32
+// addressCount counts the addresses that this process has given out.
+var addressCount atomic.Int32
 
-// ownAddress returns a loopback address that nobody else takes while a host is down: connections begin at 127.0.0.1, and the
+// allocateAddress returns a loopback address that nobody else takes while a host is down: connections begin at 127.0.0.1, and the
 // process's number tells this soak from others.
-func ownAddress() string {
-	n, pid := int(addresses.Add(1)), os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%128, pid/128%256, 1+n%hostsPerPort, firstPort+n/hostsPerPort)
+func allocateAddress() string {
+	n, pid := int(addressCount.Add(1)), os.Getpid()
+	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%128, pid/128%256, 1+n%addressesPerPort, firstPort+n/addressesPerPort)
 }
 
 // addHost prepares a host: addresses, relays and settings.
 func (f *fleet) addHost(name, domain string) {
-	p := &process{name: name, front: ownAddress(), ready: ownAddress(), directory: ownAddress(), file: filepath.Join(f.dir, name+".ini")}
-	inner := ownAddress()
-	p.peers, p.store = f.relay(inner), f.relay(f.serve(f.store.HandlerFor(name)))
+	p := &process{name: name, listen: allocateAddress(), ready: allocateAddress(), directory: allocateAddress(), settingsFile: filepath.Join(f.dir, name+".ini")}
+	inner := allocateAddress()
+	p.peerRelay, p.storeRelay = f.startRelay(inner), f.startRelay(f.startServer(f.store.HandlerFor(name)))
 	seeds := ""
 	if len(f.hosts) > 0 {
-		seeds = "[Peers]\nSeeds = " + f.hosts[0].peers.address() + "\n"
+		seeds = "[Peers]\nSeeds = " + f.hosts[0].peerRelay.address() + "\n"
 	}
 	text := fmt.Sprintf("[Host]\nName = %s\nDomain = %s\nListen = %s\nInner = %s\nAnnounced = %s\nReady = %s\nDirectory = %s\n"+
 		"[Platform]\nKind = Native\nStore = http://%s\nTimeout = 1s\n%s[Limits]\nStopTimeout = %v\nAddressMaxAge = 1s\n",
-		name, domain, p.front, inner, p.peers.address(), p.ready, p.directory, p.store.address(), seeds, stopTimeout)
-	f.is.NoErr(os.WriteFile(p.file, []byte(text), 0o600))
+		name, domain, p.listen, inner, p.peerRelay.address(), p.ready, p.directory, p.storeRelay.address(), seeds, stopTimeout)
+	f.is.NoErr(os.WriteFile(p.settingsFile, []byte(text), 0o600))
 	f.hosts = append(f.hosts, p)
 }
 
@@ -183,21 +183,21 @@
 	f.is.NoErr(err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.command = exec.Command(f.binary, "serve", "--config", p.file)
+	p.command = exec.Command(f.binary, "serve", "--config", p.settingsFile)
 	p.command.Stdout, p.command.Stderr = log, log
 	f.is.NoErr(p.command.Start())
 	p.starts++
-	p.ended = make(chan struct{})
-	command, ended := p.command, p.ended
+	p.exited = make(chan struct{})
+	command, exited := p.command, p.exited
 	go func() {
 		// How a host ended shows in its log.
 		_ = command.Wait()
 		_ = log.Close()
-		close(ended)
+		close(exited)
 	}()
 	f.t.Cleanup(func() {
 		_ = command.Process.Kill()
-		<-ended
+		<-exited
 	})
 }
 
@@ -210,9 +210,9 @@
 
 // awaitReady waits until a host says that it is ready.
 func (f *fleet) awaitReady(p *process) {
-	began := time.Now()
-	for time.Since(began) < patience {
-		response, err := f.caller.Get("http://" + p.ready + "/api/readiness")
+	start := time.Now()
+	for time.Since(start) < waitTimeout {
+		response, err := f.client.Get("http://" + p.ready + "/api/readiness")
 		if err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -221,7 +221,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Errorf("%s is not ready after %v", p.name, patience)
+	f.t.Errorf("%s is not ready after %v", p.name, waitTimeout)
 }
 
 // reply is what a caller got.
@@ -233,12 +233,12 @@
 
 // call sends one request; open connections are used again.
 func (f *fleet) call(p *process, method, path, id string) reply {
-	r, err := http.NewRequest(method, "http://"+p.front+path, nil)
+	r, err := http.NewRequest(method, "http://"+p.listen+path, nil)
 	f.is.NoErr(err)
 	r.Host = "www.example"
 	r.Header.Set("X-Attempt-Id", id)
 	r.Header.Set("X-Deadline-Ms", "2000")
-	response, err := f.caller.Do(r)
+	response, err := f.client.Do(r)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -247,8 +247,8 @@
 	return reply{response.StatusCode, string(body), response.Header.Get("X-Response-Seal"), err}
 }
 
-// runsOf returns how often an attempt ran, on all servers.
-func (f *fleet) runsOf(id string) int {
+// runCount returns how often an attempt ran, on all servers.
+func (f *fleet) runCount(id string) int {
 	sum := 0
 	for _, s := range f.targets {
 		sum += s.RunCount(id)
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// mode is what a relay does to what passes through it.
-type mode struct {
+// relayMode is what a relay does to what passes through it.
+type relayMode struct {
 	// delay holds back each piece.
 	delay time.Duration
-	// cutForward and cutBack hold everything back in one direction until the mode ends, as a cut line does.
-	cutForward, cutBack bool
-	// refuse closes new connections at once.
-	refuse bool
+	// blockToServer and cutBack hold everything back in one direction until the mode ends, as a cut line does.
+	blockToServer, blockToClient bool
+	// refuseConnections closes new connections at once.
+	refuseConnections bool
 }
 
 // relay is a loopback proxy with faults, before one server.
 type relay struct {
-	listener net.Listener
-	upstream string
-	mu       sync.Mutex
-	mode     mode
-	changed  chan struct{}
-	links    map[*link]bool
-	running  sync.WaitGroup
+	listener    net.Listener
+	upstream    string
+	mu          sync.Mutex
+	mode        relayMode
+	changed     chan struct{}
+	connections map[*connection]bool
+	goroutines  sync.WaitGroup
 }
 
-// link is one connection through a relay.
-type link struct {
-	near, far net.Conn
-	// silent drops everything for good, as a forgetful translator of addresses does.
-	silent bool
+// connection is one connection through a relay.
+type connection struct {
+	client, server net.Conn
+	// blackholed drops everything for good, as a forgetful translator of addresses does.
+	blackholed bool
 }
 
 // newRelay begins to pass connections on to an address.
 func newRelay(upstream string) (*relay, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{listener: l, upstream: upstream, changed: make(chan struct{}), links: map[*link]bool{}}
-	r.running.Go(r.accept)
+	r := &relay{listener: listener, upstream: upstream, changed: make(chan struct{}), connections: map[*connection]bool{}}
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
@@ -50,13 +50,13 @@
 // close ends all connections and waits for them.
 func (r *relay) close() {
 	_ = r.listener.Close()
-	r.set(mode{})
-	r.reset()
-	r.running.Wait()
+	r.setMode(relayMode{})
+	r.resetConnections()
+	r.goroutines.Wait()
 }
 
-// set puts another mode in force.
-func (r *relay) set(m mode) {
+// setMode puts another mode in force.
+func (r *relay) setMode(m relayMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode = m
@@ -64,12 +64,12 @@
 	r.changed = make(chan struct{})
 }
 
-// reset breaks all open connections.
-func (r *relay) reset() {
+// resetConnections breaks all open connections.
+func (r *relay) resetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for l := range r.links {
-		for _, c := range []net.Conn{l.near, l.far} {
+	for conn := range r.connections {
+		for _, c := range []net.Conn{conn.client, conn.server} {
 			if tcp, is := c.(*net.TCPConn); is {
 				// Closing without waiting sends a reset.
 				_ = tcp.SetLinger(0)
@@ -79,60 +79,60 @@
 	}
 }
 
-// silence makes all open connections lose everything from now on; new ones work.
-func (r *relay) silence() {
+// blackhole makes all open connections lose everything from now on; new ones work.
+func (r *relay) blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for l := range r.links {
-		l.silent = true
+	for conn := range r.connections {
+		conn.blackholed = true
 	}
 }
 
 func (r *relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		refuse := r.mode.refuse
+		refuse := r.mode.refuseConnections
 		r.mu.Unlock()
 		if refuse {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		r.running.Go(func() { r.connect(near) })
+		r.goroutines.Go(func() { r.forward(client) })
 	}
 }
 
-// connect passes one connection on until either end closes it.
-func (r *relay) connect(near net.Conn) {
-	far, err := net.Dial("tcp", r.upstream)
+// forward passes one connection on until either end closes it.
+func (r *relay) forward(client net.Conn) {
+	server, err := net.Dial("tcp", r.upstream)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	l := &link{near: near, far: far}
+	conn := &connection{client: client, server: server}
 	r.mu.Lock()
-	r.links[l] = true
+	r.connections[conn] = true
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.pass(l, near, far, func(m mode) bool { return m.cutForward }) })
-	both.Go(func() { r.pass(l, far, near, func(m mode) bool { return m.cutBack }) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyOneWay(conn, client, server, func(m relayMode) bool { return m.blockToServer }) })
+	directions.Go(func() { r.copyOneWay(conn, server, client, func(m relayMode) bool { return m.blockToClient }) })
+	directions.Wait()
 	r.mu.Lock()
-	delete(r.links, l)
+	delete(r.connections, conn)
 	r.mu.Unlock()
 }
 
-// pass copies one direction; its end closes both connections.
-func (r *relay) pass(l *link, from, to net.Conn, cut func(mode) bool) {
+// copyOneWay copies one direction; its end closes both connections.
+func (r *relay) copyOneWay(conn *connection, from, to net.Conn, blocked func(relayMode) bool) {
 	defer from.Close()
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.await(l, cut) {
+		if n > 0 && !r.waitToForward(conn, blocked) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -143,16 +143,16 @@
 	}
 }
 
-// await waits while the direction is cut, then for the delay, and reports whether the piece is lost.
-func (r *relay) await(l *link, cut func(mode) bool) bool {
+// waitToForward waits while the direction is cut, then for the delay, and reports whether the piece is lost.
+func (r *relay) waitToForward(conn *connection, blocked func(relayMode) bool) bool {
 	for {
 		r.mu.Lock()
-		m, changed, silent := r.mode, r.changed, l.silent
+		m, changed, blackholed := r.mode, r.changed, conn.blackholed
 		r.mu.Unlock()
 		switch {
-		case silent:
+		case blackholed:
 			return true
-		case !cut(m):
+		case !blocked(m):
 			time.Sleep(m.delay)
 			return false
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,110 +23,110 @@
 	defaultCallers = 8
 )
 
-// regressions are seeds that once broke a promise, each with its cause.
-var regressions = []uint64{
+// regressionSeeds are seeds that once broke a promise, each with its cause.
+var regressionSeeds = []uint64{
 	1, // a second SIGTERM cut what was under way
 }
 
-// run is one seed under way.
-type run struct {
+// soakRun is one seed under way.
+type soakRun struct {
 	*fleet
 	random *rand.Rand
 	mu     sync.Mutex
-	// sent holds all requests, to be judged once everything has ended.
-	sent    []request
-	number  int
-	version int
-	// newest is the newest configuration that each incarnation of a host served.
-	newest map[string]int
-	broken []string
-	faults map[string]int
+	// requests holds all requests, to be judged once everything has ended.
+	requests     []request
+	requestCount int
+	version      int
+	// newestServed is the newest configuration that each incarnation of a host served.
+	newestServed map[string]int
+	violations   []string
+	faultCounts  map[string]int
 }
 
 // request is one request and what its caller was told.
 type request struct {
 	id      string
-	once    bool
+	unsafe  bool
 	refused bool
 }
 
 // TestSoak plays the seeds that once failed, or those that the environment asks for: SOAK_SEED is the first, SOAK_SEEDS how
 // many, SOAK_SECONDS the length of each, and SOAK_HOSTS and SOAK_TARGETS the size of the fleet.
 func TestSoak(t *testing.T) {
-	seeds := regressions
-	if first := number(t, "SOAK_SEED", 0); first > 0 {
+	seeds := regressionSeeds
+	if first := intFromEnv(t, "SOAK_SEED", 0); first > 0 {
 		seeds = nil
-		for i := range number(t, "SOAK_SEEDS", 1) {
+		for i := range intFromEnv(t, "SOAK_SEEDS", 1) {
 			seeds = append(seeds, uint64(first+i))
 		}
 	}
-	length := time.Duration(number(t, "SOAK_SECONDS", int(defaultLength/time.Second))) * time.Second
-	binary := build(t)
+	length := time.Duration(intFromEnv(t, "SOAK_SECONDS", int(defaultLength/time.Second))) * time.Second
+	binary := buildBinary(t)
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			r := &run{
-				fleet:  newFleet(t, binary, number(t, "SOAK_HOSTS", defaultHosts), number(t, "SOAK_TARGETS", defaultTargets)),
-				random: rand.New(rand.NewPCG(seed, 3)), version: 1, newest: map[string]int{}, faults: map[string]int{},
+			r := &soakRun{
+				fleet:  newFleet(t, binary, intFromEnv(t, "SOAK_HOSTS", defaultHosts), intFromEnv(t, "SOAK_TARGETS", defaultTargets)),
+				random: rand.New(rand.NewPCG(seed, 3)), version: 1, newestServed: map[string]int{}, faultCounts: map[string]int{},
 			}
-			r.play(length)
-			t.Logf("%d requests, faults %v", len(r.sent), r.faults)
-			if len(r.broken) > 0 {
-				t.Errorf("%d promises broken: %s; logs of the hosts are in %s", len(r.broken), strings.Join(r.broken, "; "), r.keepLogs(seed))
+			r.execute(length)
+			t.Logf("%d requests, faults %v", len(r.requests), r.faultCounts)
+			if len(r.violations) > 0 {
+				t.Errorf("%d promises broken: %s; logs of the hosts are in %s", len(r.violations), strings.Join(r.violations, "; "), r.keepLogs(seed))
 			}
 		})
 	}
 }
 
-// number reads a number from the environment.
-func number(t *testing.T, name string, otherwise int) int {
-	text := os.Getenv(name)
-	if text == "" {
-		return otherwise
+// intFromEnv reads a number from the environment.
+func intFromEnv(t *testing.T, name string, defaultValue int) int {
+	value := os.Getenv(name)
+	if value == "" {
+		return defaultValue
 	}
-	n, err := strconv.Atoi(text)
+	n, err := strconv.Atoi(value)
 	if err != nil {
-		t.Fatalf("%s=%q: write a number", name, text)
+		t.Fatalf("%s=%q: write a number", name, value)
 	}
 	return n
 }
 
 // keepLogs copies the hosts' logs and settings to where they outlive the test.
-func (r *run) keepLogs(seed uint64) string {
-	kept, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
+func (r *soakRun) keepLogs(seed uint64) string {
+	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	r.is.NoErr(err)
-	r.is.NoErr(os.CopyFS(kept, os.DirFS(r.dir)))
-	return kept
+	r.is.NoErr(os.CopyFS(dir, os.DirFS(r.dir)))
+	return dir
 }
 
-func (r *run) intN(n int) int {
+func (r *soakRun) intN(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n)
 }
 
-func (r *run) between(low, high time.Duration) time.Duration {
+func (r *soakRun) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.intN(int(high-low)))
 }
 
-func (r *run) breach(format string, arguments ...any) {
+func (r *soakRun) reportViolation(format string, arguments ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf(format, arguments...))
+	r.violations = append(r.violations, fmt.Sprintf(format, arguments...))
 }
 
-// play sends requests while several series of faults overlap, waits for order and judges.
-func (r *run) play(length time.Duration) {
+// execute sends requests while several series of faults overlap, waits for order and judges.
+func (r *soakRun) execute(length time.Duration) {
 	end := time.Now().Add(length)
 	var faults, callers sync.WaitGroup
-	for _, series := range []func() (string, func()){r.hostFault, r.hostFault, r.lineFault, r.lineFault, r.storeFault, r.targetFault} {
+	for _, randomFault := range []func() (string, func()){r.randomHostFault, r.randomHostFault, r.randomRelayFault, r.randomRelayFault, r.randomStoreFault, r.randomTargetFault} {
 		faults.Go(func() {
 			for time.Now().Before(end) {
-				time.Sleep(r.between(50*time.Millisecond, time.Second))
-				name, strike := series()
+				time.Sleep(r.randomDuration(50*time.Millisecond, time.Second))
+				name, inject := randomFault()
 				r.mu.Lock()
-				r.faults[name]++
+				r.faultCounts[name]++
 				r.mu.Unlock()
-				strike()
+				inject()
 			}
 		})
 	}
@@ -138,242 +138,242 @@
 				case <-stop:
 					return
 				default:
-					r.request()
+					r.sendRequest()
 				}
 			}
 		})
 	}
 	faults.Wait()
-	r.awaitOrder()
+	r.awaitRecovery()
 	close(stop)
 	callers.Wait()
 	time.Sleep(2 * time.Second) // longer than any run that is still under way
-	r.judgeAll()
+	r.checkRunCounts()
 }
 
-// awaitOrder waits until every host serves again, under the newest configuration.
-func (r *run) awaitOrder() {
+// awaitRecovery waits until every host serves again, under the newest configuration.
+func (r *soakRun) awaitRecovery() {
 	path := fmt.Sprintf("/v%d/1", r.version)
 	if r.version == 1 {
 		path = "/lookup/1"
 	}
 	for _, p := range r.hosts {
-		began, served := time.Now(), false
-		for n := 0; !served && time.Since(began) < patience; n++ {
+		start, served := time.Now(), false
+		for n := 0; !served && time.Since(start) < waitTimeout; n++ {
 			served = r.call(p, http.MethodGet, path, fmt.Sprintf("order-%s-%d", p.name, n)).status == http.StatusOK
 			time.Sleep(50 * time.Millisecond)
 		}
 		if !served {
-			r.breach("%s does not serve %s, of the newest configuration, after the faults", p.name, path)
+			r.reportViolation("%s does not serve %s, of the newest configuration, after the faults", p.name, path)
 		}
 	}
 }
 
-// look returns a host's incarnation and whether something ails its process.
-func (p *process) look() (starts int, troubled, stopping bool) {
+// state returns a host's incarnation and whether something ails its process.
+func (p *process) state() (starts int, disrupted, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.starts, p.troubled, p.stopping
+	return p.starts, p.disrupted, p.stopping
 }
 
-// request sends one request and checks at once what can be told at once.
-func (r *run) request() {
-	p, once := r.hosts[r.intN(len(r.hosts))], r.intN(2) == 0
-	starts, troubled, stopping := p.look()
-	if troubled {
+// sendRequest sends one request and checks at once what can be told at once.
+func (r *soakRun) sendRequest() {
+	p, unsafe := r.hosts[r.intN(len(r.hosts))], r.intN(2) == 0
+	starts, disrupted, stopping := p.state()
+	if disrupted {
 		time.Sleep(5 * time.Millisecond)
 		return
 	}
 	r.mu.Lock()
-	r.number++
-	id, version := fmt.Sprintf("q%d", r.number), r.version
+	r.requestCount++
+	id, version := fmt.Sprintf("q%d", r.requestCount), r.version
 	r.mu.Unlock()
 	method, path := http.MethodGet, "/lookup/1"
-	if once {
+	if unsafe {
 		method, path = http.MethodPost, "/order/1"
 	}
-	answer := r.call(p, method, path, id)
-	startsAfter, troubledAfter, stoppingAfter := p.look()
-	refused := answer.status == http.StatusServiceUnavailable || answer.status == http.StatusTooManyRequests
+	got := r.call(p, method, path, id)
+	startsAfter, disruptedAfter, stoppingAfter := p.state()
+	refused := got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests
 	r.mu.Lock()
-	r.sent = append(r.sent, request{id, once, refused})
+	r.requests = append(r.requests, request{id, unsafe, refused})
 	r.mu.Unlock()
 	switch {
-	case answer.err != nil && (troubledAfter || startsAfter != starts):
-	case answer.err != nil && (stopping || stoppingAfter) && r.runsOf(id) == 0:
+	case got.err != nil && (disruptedAfter || startsAfter != starts):
+	case got.err != nil && (stopping || stoppingAfter) && r.runCount(id) == 0:
 		// The request crossed the close, or came after the end.
-	case answer.err != nil:
-		r.breach("%s cut %s, which ran %d times: %v", p.name, id, r.runsOf(id), answer.err)
-	case answer.status == http.StatusNotFound:
-		r.breach("%s denied %s, which every configuration allows", p.name, id)
-	case answer.status == http.StatusOK && (answer.body != "answer to "+id || answer.seal != "seal."+id):
-		r.breach("%s answered %s with %q", p.name, id, answer.body)
+	case got.err != nil:
+		r.reportViolation("%s cut %s, which ran %d times: %v", p.name, id, r.runCount(id), got.err)
+	case got.status == http.StatusNotFound:
+		r.reportViolation("%s denied %s, which every configuration allows", p.name, id)
+	case got.status == http.StatusOK && (got.body != "answer to "+id || got.seal != "seal."+id):
+		r.reportViolation("%s answered %s with %q", p.name, id, got.body)
 	}
 	if r.intN(10) == 0 && version > 1 {
-		r.notBack(p, starts, version)
+		r.checkNoRollback(p, starts, version)
 	}
 }
 
-// notBack checks that an incarnation of a host serves no older configuration than before.
-func (r *run) notBack(p *process, starts, version int) {
+// checkNoRollback checks that an incarnation of a host serves no older configuration than before.
+func (r *soakRun) checkNoRollback(p *process, starts, version int) {
 	r.mu.Lock()
-	r.number++
-	id, incarnation := fmt.Sprintf("back%d", r.number), fmt.Sprintf("%s/%d", p.name, starts)
-	served := r.newest[incarnation]
+	r.requestCount++
+	id, incarnation := fmt.Sprintf("back%d", r.requestCount), fmt.Sprintf("%s/%d", p.name, starts)
+	served := r.newestServed[incarnation]
 	r.mu.Unlock()
-	answer := r.call(p, http.MethodGet, fmt.Sprintf("/v%d/1", version), id)
-	if after, _, _ := p.look(); after != starts {
+	got := r.call(p, http.MethodGet, fmt.Sprintf("/v%d/1", version), id)
+	if after, _, _ := p.state(); after != starts {
 		return
 	}
-	if answer.status == http.StatusNotFound && served >= version {
-		r.breach("%s went back from configuration %d", p.name, version)
+	if got.status == http.StatusNotFound && served >= version {
+		r.reportViolation("%s went back from configuration %d", p.name, version)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if answer.status == http.StatusOK {
-		r.newest[incarnation] = max(r.newest[incarnation], version)
+	if got.status == http.StatusOK {
+		r.newestServed[incarnation] = max(r.newestServed[incarnation], version)
 	}
 }
 
-// judgeAll checks what only shows at the end: how often each request ran.
-func (r *run) judgeAll() {
-	for _, q := range r.sent {
-		runs := r.runsOf(q.id)
-		if q.once && runs > 1 {
-			r.breach("unsafe request %s ran %d times", q.id, runs)
+// checkRunCounts checks what only shows at the end: how often each request ran.
+func (r *soakRun) checkRunCounts() {
+	for _, sent := range r.requests {
+		runs := r.runCount(sent.id)
+		if sent.unsafe && runs > 1 {
+			r.reportViolation("unsafe request %s ran %d times", sent.id, runs)
 		}
-		if q.refused && runs > 0 {
-			r.breach("request %s was refused as not run and ran %d times", q.id, runs)
+		if sent.refused && runs > 0 {
+			r.reportViolation("request %s was refused as not run and ran %d times", sent.id, runs)
 		}
 	}
 }
 
-// hostFault draws a fault of a host's process.
-func (r *run) hostFault() (string, func()) {
+// randomHostFault draws a fault of a host's process.
+func (r *soakRun) randomHostFault() (string, func()) {
 	p := r.hosts[r.intN(len(r.hosts))]
-	pause := r.between(10*time.Millisecond, 2*time.Second)
+	duration := r.randomDuration(10*time.Millisecond, 2*time.Second)
 	switch r.intN(4) {
 	case 0:
-		return "HostKilled", func() { r.replace(p, pause, syscall.SIGKILL) }
+		return "HostKilled", func() { r.restart(p, duration, syscall.SIGKILL) }
 	case 1:
-		return "HostStopped", func() { r.replace(p, pause, syscall.SIGTERM) }
+		return "HostStopped", func() { r.restart(p, duration, syscall.SIGTERM) }
 	case 2:
-		return "HostPaused", func() { r.pause(p, pause) }
+		return "HostPaused", func() { r.duration(p, duration) }
 	}
-	return "HostTold", func() { r.tell(p, syscall.SIGHUP) }
+	return "HostTold", func() { r.sendSignal(p, syscall.SIGHUP) }
 }
 
-// tell sends a signal to a host's present process.
-func (r *run) tell(p *process, s syscall.Signal) {
+// sendSignal sends a signal to a host's present process.
+func (r *soakRun) sendSignal(p *process, s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.signal(p, s)
 }
 
-// claim marks a host as troubled or stopping and reports whether it was neither.
-func (p *process) claim(troubled bool) bool {
+// beginFault marks a host as troubled or stopping and reports whether it was neither.
+func (p *process) beginFault(disrupted bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.troubled || p.stopping {
+	if p.disrupted || p.stopping {
 		return false
 	}
-	p.troubled, p.stopping = troubled, !troubled
+	p.disrupted, p.stopping = disrupted, !disrupted
 	return true
 }
 
-// replace ends a host by a signal, which comes twice, and starts it again after a while.
-func (r *run) replace(p *process, pause time.Duration, s syscall.Signal) {
-	if !p.claim(s == syscall.SIGKILL) {
+// restart ends a host by a signal, which comes twice, and starts it again after a while.
+func (r *soakRun) restart(p *process, downtime time.Duration, s syscall.Signal) {
+	if !p.beginFault(s == syscall.SIGKILL) {
 		return
 	}
-	r.tell(p, s)
-	time.Sleep(r.between(time.Millisecond, 300*time.Millisecond))
-	r.tell(p, s)
-	r.tell(p, syscall.SIGHUP)
+	r.sendSignal(p, s)
+	time.Sleep(r.randomDuration(time.Millisecond, 300*time.Millisecond))
+	r.sendSignal(p, s)
+	r.sendSignal(p, syscall.SIGHUP)
 	select {
-	case <-p.ended:
-	case <-time.After(patience):
-		r.breach("%s did not end within %v of %v", p.name, patience, s)
+	case <-p.exited:
+	case <-time.After(waitTimeout):
+		r.reportViolation("%s did not end within %v of %v", p.name, waitTimeout, s)
 		return
 	}
-	time.Sleep(pause)
+	time.Sleep(downtime)
 	r.start(p)
 	r.awaitReady(p)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.troubled, p.stopping = false, false
+	p.disrupted, p.stopping = false, false
 }
 
-// pause stops a host's process for a while.
-func (r *run) pause(p *process, pause time.Duration) {
-	if !p.claim(true) {
+// duration stops a host's process for a while.
+func (r *soakRun) duration(p *process, duration time.Duration) {
+	if !p.beginFault(true) {
 		return
 	}
-	r.tell(p, syscall.SIGSTOP)
-	time.Sleep(pause)
-	r.tell(p, syscall.SIGCONT)
+	r.sendSignal(p, syscall.SIGSTOP)
+	time.Sleep(duration)
+	r.sendSignal(p, syscall.SIGCONT)
 	time.Sleep(time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.troubled = false
+	p.disrupted = false
 }
 
-// lineFault draws a fault of the lines to a host, a server or the store.
-func (r *run) lineFault() (string, func()) {
-	var lines []*relay
+// randomRelayFault draws a fault of the lines to a host, a server or the store.
+func (r *soakRun) randomRelayFault() (string, func()) {
+	var relays []*relay
 	for _, p := range r.hosts {
-		lines = append(lines, p.peers, p.store)
+		relays = append(relays, p.peerRelay, p.storeRelay)
 	}
 	for _, s := range r.targets {
-		lines = append(lines, s.relay)
+		relays = append(relays, s.relay)
 	}
-	line, pause := lines[r.intN(len(lines))], r.between(50*time.Millisecond, 3*time.Second)
-	during := func(m mode) func() {
+	proxy, duration := relays[r.intN(len(relays))], r.randomDuration(50*time.Millisecond, 3*time.Second)
+	temporarily := func(m relayMode) func() {
 		return func() {
-			line.set(m)
-			time.Sleep(pause)
-			line.set(mode{})
+			proxy.setMode(m)
+			time.Sleep(duration)
+			proxy.setMode(relayMode{})
 		}
 	}
 	switch r.intN(7) {
 	case 0:
-		return "LineReset", line.reset
+		return "LineReset", proxy.resetConnections
 	case 1:
-		return "LineSilenced", line.silence
+		return "LineSilenced", proxy.blackhole
 	case 2:
-		return "LineSlow", during(mode{delay: r.between(5*time.Millisecond, 200*time.Millisecond)})
+		return "LineSlow", temporarily(relayMode{delay: r.randomDuration(5*time.Millisecond, 200*time.Millisecond)})
 	case 3:
-		return "LineCut", during(mode{cutForward: true, cutBack: true})
+		return "LineCut", temporarily(relayMode{blockToServer: true, blockToClient: true})
 	case 4:
-		return "LineCutForward", during(mode{cutForward: true})
+		return "LineCutForward", temporarily(relayMode{blockToServer: true})
 	case 5:
-		return "LineCutBack", during(mode{cutBack: true})
+		return "LineCutBack", temporarily(relayMode{blockToClient: true})
 	}
-	return "LineRefuses", during(mode{refuse: true})
+	return "LineRefuses", temporarily(relayMode{refuseConnections: true})
 }
 
-// storeFault draws a fault of the store, or a change that the operator makes there.
-func (r *run) storeFault() (string, func()) {
-	who, pause := "", r.between(50*time.Millisecond, 3*time.Second)
+// randomStoreFault draws a fault of the store, or a change that the operator makes there.
+func (r *soakRun) randomStoreFault() (string, func()) {
+	host, duration := "", r.randomDuration(50*time.Millisecond, 3*time.Second)
 	if r.intN(2) == 0 {
-		who = r.hosts[r.intN(len(r.hosts))].name
+		host = r.hosts[r.intN(len(r.hosts))].name
 	}
-	during := func(f standin.Faults) func() {
+	temporarily := func(f standin.Faults) func() {
 		return func() {
-			r.store.SetFaults(who, f)
-			time.Sleep(pause)
-			r.store.SetFaults(who, standin.Faults{})
+			r.store.SetFaults(host, f)
+			time.Sleep(duration)
+			r.store.SetFaults(host, standin.Faults{})
 		}
 	}
 	switch r.intN(6) {
 	case 0:
-		return "StoreRefuses", during(standin.Faults{Status: http.StatusServiceUnavailable})
+		return "StoreRefuses", temporarily(standin.Faults{Status: http.StatusServiceUnavailable})
 	case 1:
-		return "StoreSilent", during(standin.Faults{Unresponsive: true})
+		return "StoreSilent", temporarily(standin.Faults{Unresponsive: true})
 	case 2:
-		return "StoreSlow", during(standin.Faults{Delay: r.between(50*time.Millisecond, 2*time.Second)})
+		return "StoreSlow", temporarily(standin.Faults{Delay: r.randomDuration(50*time.Millisecond, 2*time.Second)})
 	case 3:
-		return "StoreLosesAnswers", during(standin.Faults{DropWriteResponses: true})
+		return "StoreLosesAnswers", temporarily(standin.Faults{DropWriteResponses: true})
 	case 4:
 		return "StoreForgetsHistory", r.store.Compact
 	}
@@ -381,29 +381,29 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.version++
-		r.configure(r.version)
+		r.writeConfiguration(r.version)
 	}
 }
 
-// targetFault draws a fault of a backend server.
-func (r *run) targetFault() (string, func()) {
-	s, pause := r.targets[r.intN(len(r.targets))], r.between(50*time.Millisecond, 3*time.Second)
-	during := func(change func(t *standin.Target, on bool)) func() {
+// randomTargetFault draws a fault of a backend server.
+func (r *soakRun) randomTargetFault() (string, func()) {
+	s, duration := r.targets[r.intN(len(r.targets))], r.randomDuration(50*time.Millisecond, 3*time.Second)
+	temporarily := func(change func(t *standin.Target, on bool)) func() {
 		return func() {
 			s.Update(func(t *standin.Target) { change(t, true) })
-			time.Sleep(pause)
+			time.Sleep(duration)
 			s.Update(func(t *standin.Target) { change(t, false) })
 		}
 	}
 	switch r.intN(6) {
 	case 0:
-		return "TargetLosesAnswers", during(func(t *standin.Target, on bool) { t.DropResponses = on })
+		return "TargetLosesAnswers", temporarily(func(t *standin.Target, on bool) { t.DropResponses = on })
 	case 1:
-		return "TargetCutsAnswers", during(func(t *standin.Target, on bool) { t.TruncateResponses = on })
+		return "TargetCutsAnswers", temporarily(func(t *standin.Target, on bool) { t.TruncateResponses = on })
 	case 2:
-		return "TargetSheds", during(func(t *standin.Target, on bool) { t.RefuseRuns = on })
+		return "TargetSheds", temporarily(func(t *standin.Target, on bool) { t.RefuseRuns = on })
 	case 3:
-		return "TargetSlow", during(func(t *standin.Target, on bool) {
+		return "TargetSlow", temporarily(func(t *standin.Target, on bool) {
 			t.RunDuration = 50 * time.Millisecond
 			if on {
 				t.RunDuration = 700 * time.Millisecond
@@ -412,13 +412,13 @@
 	case 4:
 		return "TargetLeaves", func() {
 			r.register(s, "draining")
-			time.Sleep(pause)
+			time.Sleep(duration)
 			r.register(s, "ready")
 		}
 	}
 	return "TargetVanishes", func() {
 		r.store.Delete("servers/" + s.Name)
-		time.Sleep(pause)
+		time.Sleep(duration)
 		r.register(s, "ready")
 	}
 }
