--- a/internal/platform/etcd.go
+++ b/internal/platform/etcd.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// maxResponseBytes bounds one answer of the store; values are at most a megabyte.
+// maxResponseBytes limits the size of one response of the store or of the host list; one value has at most 1 MB.
 const maxResponseBytes = 64 << 20
 
-// Etcd is a Store that speaks the JSON form of etcd's v3 protocol.
+// Etcd is a client of etcd, or of a store with the same protocol; it implements Store through etcd's v3 JSON gateway.
 type Etcd struct {
 	url     string
 	timeout time.Duration
 	client  *http.Client
 }
 
-// EtcdConfig locates the service; Timeout bounds each call but Watch.
+// EtcdConfig configures an Etcd. Timeout limits each call except Watch.
 type EtcdConfig struct {
 	URL     string
 	Timeout time.Duration
-	// Dial opens connections; nil means TCP.
+	// Dial opens connections; nil means the default dialer of net/http.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// NewEtcd returns a Store and the function that closes its connections.
+// NewEtcd returns a client and a function that closes the client's idle connections.
 func NewEtcd(c EtcdConfig) (*Etcd, func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DialContext: c.Dial}
 	e := &Etcd{url: c.URL, timeout: c.Timeout, client: &http.Client{Transport: transport}}
@@ -150,7 +150,7 @@
 	return false, existing, err
 }
 
-// GrantLease implements Store.
+// GrantLease implements Store. It rounds length down to whole seconds, the unit of etcd's leases.
 func (e *Etcd) GrantLease(ctx context.Context, length time.Duration) (LeaseID, error) {
 	var response struct {
 		ID int64 `json:"ID,string"`
@@ -172,7 +172,7 @@
 		ID int64 `json:"ID,string"`
 	}{int64(lease)}, &response)
 	if err == nil && response.Result.TTL <= 0 {
-		return ErrLeaseExpired.New("lease %d has lapsed; ask for a new one", lease)
+		return ErrLeaseExpired.New("lease %d has expired; request a new one", lease)
 	}
 	return err
 }
@@ -201,7 +201,7 @@
 			} `json:"result"`
 		}
 		if err := decoder.Decode(&message); err != nil {
-			return ErrUnavailable.New("watch ended: %v; watch again", err)
+			return ErrUnavailable.New("watch ended: %v; start it again", err)
 		}
 		for _, event := range message.Result.Events {
 			if event.Type == "" || event.Type == "PUT" {
@@ -220,7 +220,7 @@
 	}
 	defer body.Close()
 	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(response); err != nil {
-		return ErrUnavailable.New("%s: answer was cut or is not JSON (%v); read the key again", path, err)
+		return ErrUnavailable.New("%s: the response was truncated or is not valid JSON (%v); read the key again", path, err)
 	}
 	return nil
 }
@@ -228,26 +228,26 @@
 func (e *Etcd) post(ctx context.Context, path string, request any) (io.ReadCloser, error) {
 	data, err := json.Marshal(request)
 	if err != nil {
-		return nil, ErrUnavailable.New("%s: %v", path, err)
+		return nil, ErrUnavailable.New("%s: cannot encode the request: %v", path, err)
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url+path, bytes.NewReader(data))
 	if err != nil {
-		return nil, ErrUnavailable.New("%s: %v; check [Platform] Store", path, err)
+		return nil, ErrUnavailable.New("%s: invalid URL: %v; check the setting Store in [Platform]", path, err)
 	}
 	r.Header.Set("Content-Type", "application/json")
 	response, err := e.client.Do(r)
 	if err != nil {
-		return nil, ErrUnavailable.New("%s: %v; check that the key-value service is up", path, err)
+		return nil, ErrUnavailable.New("%s: %v; check that the key-value store is running", path, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		message, _ := io.ReadAll(io.LimitReader(response.Body, 512))
 		err := errors.Join(response.Body.Close())
-		return nil, ErrUnavailable.New("%s: status %d %s %v", path, response.StatusCode, message, err)
+		return nil, ErrUnavailable.New("%s: the key-value store responded with status %d: %s (close error: %v)", path, response.StatusCode, message, err)
 	}
 	return response.Body, nil
 }
 
-// prefixEnd returns the first key after every key that starts with prefix.
+// prefixEnd returns the end of the range of all keys that start with prefix: the first key after them.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	end[len(end)-1]++
--- a/internal/platform/standin/calls.go
+++ b/internal/platform/standin/calls.go
@@ -9,7 +9,7 @@
 	"briarcroft/internal/platform"
 )
 
-// maxValueBytes is the largest value that the service takes.
+// maxValueBytes is the size of the largest value that the store accepts.
 const maxValueBytes = 1 << 20
 
 type keyValue struct {
@@ -71,12 +71,12 @@
 		return
 	}
 	if len(request.Compare) != 1 || len(request.Success) != 1 {
-		http.Error(w, "the stand-in takes one comparison and one put", http.StatusBadRequest)
+		http.Error(w, "the stand-in supports only transactions with one comparison and one put", http.StatusBadRequest)
 		return
 	}
 	compare, put := request.Compare[0], request.Success[0].RequestPut
 	if len(put.Value) > maxValueBytes {
-		http.Error(w, "value is above one megabyte", http.StatusBadRequest)
+		http.Error(w, "the value is larger than 1 MB", http.StatusBadRequest)
 		return
 	}
 	type operationResponse struct {
@@ -113,7 +113,7 @@
 	writeJSON(w, response)
 }
 
-// consumeFault uses up one of a counted fault and reports whether there was one.
+// consumeFault decrements the counter of a fault and reports whether it was above zero.
 func (s *Server) consumeFault(fault func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -1,4 +1,5 @@
-// Package standin is a small in-memory stand-in for the platform's key-value service and host list, with faults to switch on.
+// Package standin provides an in-memory stand-in, for tests and demos, of the platform's key-value store and host list. Tests
+// can make it fail in several ways.
 package standin
 
 import (
@@ -12,7 +13,7 @@
 	"briarcroft/internal/platform"
 )
 
-// CallKind names one kind of call that the platform counts.
+// CallKind is a kind of call; Server.Calls counts calls by kind.
 type CallKind string
 
 // The kinds of call.
@@ -26,20 +27,21 @@
 	CallHosts     CallKind = "Hosts"
 )
 
-// Faults are the failures in force; the zero value is a healthy service.
+// Faults selects how a Server fails; the zero value is a healthy server.
 type Faults struct {
-	// Down refuses every call.
+	// Down refuses every call with status 503.
 	Down bool
-	// Delay holds each call back.
+	// Delay is how long each call waits before it is handled.
 	Delay time.Duration
-	// DropWriteResponses applies writes and drops the connection instead of answering, for so many writes.
+	// DropWriteResponses is the number of writes that are applied without a response: the connection is closed instead.
 	DropWriteResponses int
-	// DelayedWrites drops the connection at once and applies the write WriteDelay afterwards, for so many writes.
+	// DelayedWrites is the number of writes that are applied only after WriteDelay; the connection is closed at once.
 	DelayedWrites int
-	WriteDelay    time.Duration
-	// StaleRevision serves reads as of that revision when above zero.
+	// WriteDelay is the delay of DelayedWrites.
+	WriteDelay time.Duration
+	// StaleRevision, if above zero, makes reads return the entries as they were at that revision.
 	StaleRevision int64
-	// SuppressWatchEvents keeps watches open without telling them of changes.
+	// SuppressWatchEvents keeps watches open without sending changes to them.
 	SuppressWatchEvents bool
 }
 
@@ -55,7 +57,7 @@
 	events     chan platform.Entry
 }
 
-// Server is the service's state and its HTTP handler.
+// Server is the HTTP handler of the key-value store and the host list. It is safe for concurrent use.
 type Server struct {
 	mu       sync.Mutex
 	revision int64
@@ -63,14 +65,14 @@
 	leases   map[int64]time.Time
 	watches  map[*watch]bool
 	hosts    []platform.ListedHost
-	// hostsVersion counts the changes of the list.
+	// hostsVersion counts the changes of the host list; it is the list's ETag.
 	hostsVersion int64
 	faults       Faults
 	calls        map[CallKind]int64
 	mux          *http.ServeMux
 }
 
-// New returns an empty healthy service.
+// New returns an empty server without faults.
 func New() *Server {
 	s := &Server{
 		keys: map[string][]keyVersion{}, leases: map[int64]time.Time{}, watches: map[*watch]bool{},
@@ -89,7 +91,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,14 +117,14 @@
 	return counts
 }
 
-// Revision returns the revision of the newest write.
+// Revision returns the store's present revision, which increases with every write, removal and lease.
 func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// ExpireLeases ends every lease now, with the keys attached to it.
+// ExpireLeases ends every lease now and removes the keys that were written with one.
 func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +147,7 @@
 			}
 		}
 		if faults.Down {
-			http.Error(w, "service is down", http.StatusServiceUnavailable)
+			http.Error(w, "the store is set to refuse all calls", http.StatusServiceUnavailable)
 			return
 		}
 		handler(w, r)
@@ -171,7 +173,8 @@
 	}
 }
 
-// versionAt returns the newest version of a key at or below a revision; revision 0 means now.
+// versionAt returns the newest version of a key at a revision; revision 0 means the present one. It returns false if the key
+// did not exist then.
 func (s *Server) versionAt(key string, revision int64) (keyVersion, bool) {
 	versions := s.keys[key]
 	for i := len(versions) - 1; i >= 0; i-- {
@@ -221,7 +224,7 @@
 
 func decodeRequest(w http.ResponseWriter, r *http.Request, request any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4<<20)).Decode(request); err != nil {
-		http.Error(w, "request is not valid JSON: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
+		http.Error(w, "the request is not valid JSON: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
 		return false
 	}
 	return true
