--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 SEED ?= 1
 REQUESTS ?= 1000000
 
-# Cases of KNOWN-RED.txt run apart and fail nothing.
+# Tests that KNOWN-RED.txt lists are skipped here and run by the target red, where their failures do not fail the build.
 RED := $(shell sed -n 's/^Test: *\([A-Za-z0-9_]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null | sort -u | paste -sd'|' -)
 SKIP := $(if $(RED),-skip '^($(RED))$$',)
 
@@ -35,7 +35,7 @@
 soak:
 	BRIARCROFT_SOAK=$(REQUESTS) BRIARCROFT_SEED=$(SEED) go test ./internal/entry -run AtMostOnceSoak -count 1 -v -timeout 80m
 
-# Real processes under random faults: make soak-processes SEED=1 SEEDS=50 SECONDS=8
+# Runs entry hosts as processes under random faults, for example: make soak-processes SEED=1 SEEDS=50 SECONDS=8
 SEEDS ?= 50
 SECONDS ?= 8
 soak-processes:
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -19,8 +19,8 @@
 type WatchableStore interface {
 	// Snapshot returns all entries under prefix and the revision after which to wait for changes.
 	Snapshot(ctx context.Context, prefix string) (entries []Entry, revision int64, err error)
-	// WaitForChanges waits for up to wait until there are changes under prefix after a revision. It returns them with the
-	// revision to pass to the next call.
+	// WaitForChanges waits for up to wait until there are changes under prefix after a revision. It returns them with
+	// the revision to pass to the next call.
 	WaitForChanges(ctx context.Context, prefix string, after int64, wait time.Duration) (changes []Change, revision int64, err error)
 	// Write sets and removes keys in one transaction, regardless of their present values.
 	Write(ctx context.Context, set []Entry, remove []string) error
--- a/internal/platform/hostlist.go
+++ b/internal/platform/hostlist.go
@@ -27,8 +27,8 @@
 	RoleBackend HostRole = "Backend"
 )
 
-// ListedHost is one host of the platform's list. Address is the inner address of an entry host, where its peers connect, or
-// the address of a backend server.
+// ListedHost is one host of the platform's list. Address is the inner address of an entry host, where its peers
+// connect, or the address of a backend server.
 type ListedHost struct {
 	Name    string
 	Address string
@@ -36,8 +36,8 @@
 	Role    HostRole
 }
 
-// HostList is a client of the platform's list of live and leaving hosts. The list may be out of date: changes reach it late.
-// A HostList is not safe for concurrent use.
+// HostList is a client of the platform's list of live and leaving hosts. The list may be out of date: changes reach
+// it late. A HostList is not safe for concurrent use.
 type HostList struct {
 	url    string
 	client *http.Client
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin provides an in-memory stand-in, for tests and demos, of the platform's key-value store and host list. Tests
-// can make it fail in several ways.
+// Package standin provides an in-memory stand-in, for tests and demos, of the platform's key-value store and host
+// list. Tests can make it fail in several ways.
 package standin
 
 import (
@@ -173,8 +173,8 @@
 	}
 }
 
-// versionAt returns the newest version of a key at a revision; revision 0 means the present one. It returns false if the key
-// did not exist then.
+// versionAt returns the newest version of a key at a revision; revision 0 means the present one. It returns false if
+// the key did not exist then.
 func (s *Server) versionAt(key string, revision int64) (keyVersion, bool) {
 	versions := s.keys[key]
 	for i := len(versions) - 1; i >= 0; i-- {
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -1,5 +1,5 @@
-// Package platform defines how hosts use a key-value store, and provides clients of the platform's key-value store and of its
-// list of hosts.
+// Package platform defines how hosts use a key-value store, and provides clients of the platform's key-value store
+// and of its list of hosts.
 package platform
 
 import (
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,3 +1,4 @@
-// Package soak tests fleets of real processes against random faults from outside: connections that are delayed, reset, cut or
-// silenced, and processes that are stopped, paused, killed and started again. It holds tests only.
+// Package soak holds a soak test: it runs several entry hosts as processes under load while random faults occur.
+// Connections are delayed, reset, blocked or lose all data, the store and the backend servers fail, and processes are
+// stopped, paused, killed and restarted. It contains only tests.
 package soak
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -21,15 +21,15 @@
 	"github.com/matryer/is"
 )
 
-// Times of the fleet.
+// Timeouts of the fleet.
 const (
-	// waitTimeout bounds the wait for what must come; it decides nothing else.
+	// waitTimeout limits each wait for something that must happen. Exceeding it is always a failure.
 	waitTimeout = 30 * time.Second
-	// stopTimeout is how long a host may take to stop gracefully.
+	// stopTimeout is how long a host may take to stop gracefully, as set in its settings.
 	stopTimeout = 4 * time.Second
 )
 
-// fleet is a set of gateways as processes, with a store and backend servers in the test.
+// fleet is a set of entry hosts that run as processes, with a store and backend servers that run in the test process.
 type fleet struct {
 	t       *testing.T
 	is      *is.I
@@ -41,40 +41,44 @@
 	client  *http.Client
 }
 
-// backendServer is one backend server behind its relay.
+// backendServer is one backend server with the relay through which the hosts reach it.
 type backendServer struct {
 	*standin.Target
 	relay *relay
 }
 
-// process is one gateway and what it is reached by.
+// process is the process of one entry host, with the host's addresses and relays.
 type process struct {
-	name                     string
+	name string
+	// listen serves callers, ready the readiness check and directory the addresses of the entry hosts.
 	listen, ready, directory string
-	// peerRelay passes what peers send to the host, and store what the host sends to the store.
+	// peerRelay forwards connections of peers to the host, and storeRelay those of the host to the store.
 	peerRelay, storeRelay *relay
 	settingsFile          string
-	mu                    sync.Mutex
-	command               *exec.Cmd
-	exited                chan struct{}
-	// starts counts incarnations; troubled is set from a kill or pause, and stopping from a graceful stop, until the host is
-	// ready again.
-	starts    int
+	// mu guards command, starts, disrupted and stopping.
+	mu      sync.Mutex
+	command *exec.Cmd
+	// exited is closed when the process has ended.
+	exited chan struct{}
+	// starts counts the starts of the process, and so identifies the incarnation of the host.
+	starts int
+	// disrupted is set from a kill until the host is ready again, and from a pause until one second after it.
 	disrupted bool
-	stopping  bool
+	// stopping is set from the start of a graceful stop until the host has been started again and is ready.
+	stopping bool
 }
 
-// buildBinary makes the program that the processes run.
+// buildBinary builds the program that the processes run and returns its path.
 func buildBinary(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "briarcroft")
 	out, err := exec.Command("go", "build", "-o", binary, "briarcroft/cmd/briarcroft").CombinedOutput()
 	if err != nil {
-		t.Fatalf("building the program: %v\n%s", err, out)
+		t.Fatalf("cannot build the program: %v\n%s", err, out)
 	}
 	return binary
 }
 
-// newFleet starts everything and waits until every host serves.
+// newFleet starts the store, the backend servers and the hosts, and waits until every host is ready.
 func newFleet(t *testing.T, binary string, hosts, targets int) *fleet {
 	f := &fleet{t: t, is: is.New(t), binary: binary, dir: t.TempDir(), store: standin.New(), client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: waitTimeout,
@@ -88,15 +92,15 @@
 		f.addHost(fmt.Sprintf("h%d", i), []string{"a", "b", "c"}[i%3])
 	}
 	for _, p := range f.hosts {
-		f.start(p)
+		f.startProcess(p)
 	}
 	for _, p := range f.hosts {
-		f.awaitReady(p)
+		f.waitReady(p)
 	}
 	return f
 }
 
-// startRelay returns a relay that is closed when the test ends.
+// startRelay starts a relay that is closed when the test ends.
 func (f *fleet) startRelay(upstream string) *relay {
 	r, err := newRelay(upstream)
 	f.is.NoErr(err)
@@ -104,7 +108,7 @@
 	return r
 }
 
-// startServer runs a handler until the test ends and returns its address.
+// startServer serves a handler until the test ends and returns the server's address.
 func (f *fleet) startServer(h http.Handler) string {
 	s := httptest.NewServer(h)
 	f.t.Cleanup(func() {
@@ -126,7 +130,8 @@
 	f.store.Put("servers/"+s.Name, s.StoreValue("stock", state))
 }
 
-// writeConfiguration writes a configuration; each version allows all that the ones before it do.
+// writeConfiguration writes a version of the configuration to the store. Each version adds one route to the previous
+// one, so every request that a version allows is allowed by all later ones too.
 func (f *fleet) writeConfiguration(version int) {
 	rule := func(name, prefix, kind string) map[string]any {
 		return map[string]any{"name": name, "host": "www.example", "prefix": prefix, "kind": kind, "timeout-ms": 2000, "latency-goal-ms": 800,
@@ -145,23 +150,23 @@
 	f.store.Put("op/config", value)
 }
 
-// Numbers of own loopback addresses.
+// Numbering of the loopback addresses of hosts.
 const (
 	firstPort        = 7100
 	addressesPerPort = 250
 )
 
-// addressCount counts the addresses that this process has given out.
+// addressCount is the number of addresses that this test process has allocated.
 var addressCount atomic.Int32
 
-// allocateAddress returns a loopback address that nobody else takes while a host is down: connections begin at 127.0.0.1, and the
-// process's number tells this soak from others.
+// allocateAddress returns a loopback address and port that nothing else uses, even while the host is down: outgoing
+// connections get local ports of 127.0.0.1 only, and the process ID keeps the addresses of concurrent soak tests apart.
 func allocateAddress() string {
 	n, pid := int(addressCount.Add(1)), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%128, pid/128%256, 1+n%addressesPerPort, firstPort+n/addressesPerPort)
 }
 
-// addHost prepares a host: addresses, relays and settings.
+// addHost allocates the addresses of a host, starts its relays and writes its settings file.
 func (f *fleet) addHost(name, domain string) {
 	p := &process{name: name, listen: allocateAddress(), ready: allocateAddress(), directory: allocateAddress(), settingsFile: filepath.Join(f.dir, name+".ini")}
 	inner := allocateAddress()
@@ -177,8 +182,8 @@
 	f.hosts = append(f.hosts, p)
 }
 
-// start starts a host's process; its log goes on in one file.
-func (f *fleet) start(p *process) {
+// startProcess starts a host's process, which appends to the host's log file.
+func (f *fleet) startProcess(p *process) {
 	log, err := os.OpenFile(filepath.Join(f.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	f.is.NoErr(err)
 	p.mu.Lock()
@@ -190,7 +195,7 @@
 	p.exited = make(chan struct{})
 	command, exited := p.command, p.exited
 	go func() {
-		// How a host ended shows in its log.
+		// The exit status is not needed: the host's log shows why it ended.
 		_ = command.Wait()
 		_ = log.Close()
 		close(exited)
@@ -201,15 +206,15 @@
 	})
 }
 
-// signal sends a signal to a host's process, which may have ended.
+// signal sends a signal to a host's process, unless that has ended.
 func (f *fleet) signal(p *process, s syscall.Signal) {
 	if err := p.command.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		f.t.Errorf("signalling %s: %v", p.name, err)
+		f.t.Errorf("cannot signal %s: %v", p.name, err)
 	}
 }
 
-// awaitReady waits until a host says that it is ready.
-func (f *fleet) awaitReady(p *process) {
+// waitReady waits until a host's readiness check succeeds.
+func (f *fleet) waitReady(p *process) {
 	start := time.Now()
 	for time.Since(start) < waitTimeout {
 		response, err := f.client.Get("http://" + p.ready + "/api/readiness")
@@ -224,14 +229,14 @@
 	f.t.Errorf("%s is not ready after %v", p.name, waitTimeout)
 }
 
-// reply is what a caller got.
+// reply is what a caller receives for one request: a response or an error.
 type reply struct {
 	status     int
 	body, seal string
 	err        error
 }
 
-// call sends one request; open connections are used again.
+// call sends one request to a host and reads the response. It reuses open connections.
 func (f *fleet) call(p *process, method, path, id string) reply {
 	r, err := http.NewRequest(method, "http://"+p.listen+path, nil)
 	f.is.NoErr(err)
@@ -247,7 +252,7 @@
 	return reply{response.StatusCode, string(body), response.Header.Get("X-Response-Seal"), err}
 }
 
-// runCount returns how often an attempt ran, on all servers.
+// runCount returns how many times the backend servers ran a request, all together.
 func (f *fleet) runCount(id string) int {
 	sum := 0
 	for _, s := range f.targets {
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// relayMode is what a relay does to what passes through it.
+// relayMode says how a relay treats connections and the data on them; the zero value forwards everything.
 type relayMode struct {
-	// delay holds back each piece.
+	// delay is how long each chunk of data is held back.
 	delay time.Duration
-	// blockToServer and cutBack hold everything back in one direction until the mode ends, as a cut line does.
+	// blockToServer and blockToClient hold back all data in one direction until the mode changes, as a network
+	// partition does.
 	blockToServer, blockToClient bool
 	// refuseConnections closes new connections at once.
 	refuseConnections bool
 }
 
-// relay is a loopback proxy with faults, before one server.
+// relay is a TCP proxy on the loopback interface that forwards connections to one server and simulates network faults.
 type relay struct {
-	listener    net.Listener
-	upstream    string
-	mu          sync.Mutex
-	mode        relayMode
+	listener net.Listener
+	upstream string
+	mu       sync.Mutex
+	mode     relayMode
+	// changed is closed, and replaced, when mode changes.
 	changed     chan struct{}
 	connections map[*connection]bool
 	goroutines  sync.WaitGroup
 }
 
-// connection is one connection through a relay.
+// connection is one forwarded connection: the client's to the relay and the relay's to the server.
 type connection struct {
 	client, server net.Conn
-	// blackholed drops everything for good, as a forgetful translator of addresses does.
+	// blackholed drops all data from now on without closing the connection, as a NAT device does that has lost its
+	// state.
 	blackholed bool
 }
 
-// newRelay begins to pass connections on to an address.
+// newRelay starts a relay that forwards connections to the address upstream.
 func newRelay(upstream string) (*relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +50,7 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// close ends all connections and waits for them.
+// close closes the listener and all connections and waits for the relay's goroutines.
 func (r *relay) close() {
 	_ = r.listener.Close()
 	r.setMode(relayMode{})
@@ -55,7 +58,7 @@
 	r.goroutines.Wait()
 }
 
-// setMode puts another mode in force.
+// setMode changes the mode, which also applies to the open connections.
 func (r *relay) setMode(m relayMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,14 +67,14 @@
 	r.changed = make(chan struct{})
 }
 
-// resetConnections breaks all open connections.
+// resetConnections closes all open connections with a TCP reset.
 func (r *relay) resetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.connections {
 		for _, c := range []net.Conn{conn.client, conn.server} {
 			if tcp, is := c.(*net.TCPConn); is {
-				// Closing without waiting sends a reset.
+				// With a linger time of 0, Close sends a reset.
 				_ = tcp.SetLinger(0)
 			}
 			_ = c.Close()
@@ -79,7 +82,7 @@
 	}
 }
 
-// blackhole makes all open connections lose everything from now on; new ones work.
+// blackhole makes all open connections drop their data from now on. New connections are not affected.
 func (r *relay) blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +108,7 @@
 	}
 }
 
-// forward passes one connection on until either end closes it.
+// forward forwards one connection to the server until either end closes it.
 func (r *relay) forward(client net.Conn) {
 	server, err := net.Dial("tcp", r.upstream)
 	if err != nil {
@@ -125,7 +128,7 @@
 	r.mu.Unlock()
 }
 
-// copyOneWay copies one direction; its end closes both connections.
+// copyOneWay copies the data of one direction. At the end of the data it closes both connections.
 func (r *relay) copyOneWay(conn *connection, from, to net.Conn, blocked func(relayMode) bool) {
 	defer from.Close()
 	defer to.Close()
@@ -143,7 +146,8 @@
 	}
 }
 
-// waitToForward waits while the direction is cut, then for the delay, and reports whether the piece is lost.
+// waitToForward waits while the direction is blocked, then for the delay, and reports whether to drop the chunk of
+// data.
 func (r *relay) waitToForward(conn *connection, blocked func(relayMode) bool) bool {
 	for {
 		r.mu.Lock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -15,7 +15,7 @@
 	"briarcroft/platform/standin"
 )
 
-// Sizes of a run that nobody asked to be longer.
+// Defaults of the environment variables that TestSoak reads, and the number of concurrent callers.
 const (
 	defaultHosts   = 3
 	defaultTargets = 4
@@ -23,35 +23,48 @@
 	defaultCallers = 8
 )
 
-// regressionSeeds are seeds that once broke a promise, each with its cause.
+// regressionSeeds are seeds that have found a fault before, each with its cause.
 var regressionSeeds = []uint64{
-	1, // a second SIGTERM cut what was under way
+	1, // a second SIGTERM aborted the requests in flight
 }
 
-// soakRun is one seed under way.
+// soakRun is the run of one seed.
 type soakRun struct {
 	*fleet
 	random *rand.Rand
-	mu     sync.Mutex
-	// requests holds all requests, to be judged once everything has ended.
-	requests     []request
-	requestCount int
-	version      int
-	// newestServed is the newest configuration that each incarnation of a host served.
+	// mu guards random and the fields below.
+	mu sync.Mutex
+	// requests lists all requests that were sent, whose run counts are checked at the end.
+	requests []request
+	// lastRequest is the number in the ID of the newest request.
+	lastRequest int
+	// version is the newest version of the configuration.
+	version int
+	// newestServed is the newest version of the configuration that each incarnation of a host has served.
 	newestServed map[string]int
-	violations   []string
-	faultCounts  map[string]int
+	// violations lists the violated guarantees.
+	violations []string
+	// faultCounts counts the injected faults by name.
+	faultCounts map[string]int
 }
 
-// request is one request and what its caller was told.
+// request is one request that was sent.
 type request struct {
-	id      string
-	unsafe  bool
+	id string
+	// unsafe is set for a request that must not run more than once.
+	unsafe bool
+	// refused is set if the caller was told that the request was not run.
 	refused bool
 }
 
-// TestSoak plays the seeds that once failed, or those that the environment asks for: SOAK_SEED is the first, SOAK_SEEDS how
-// many, SOAK_SECONDS the length of each, and SOAK_HOSTS and SOAK_TARGETS the size of the fleet.
+// TestSoak checks the guarantees of the load balancer under random faults: no request that must run at most once runs
+// twice, refused requests do not run, every request is answered correctly unless the host was killed, paused or
+// stopped meanwhile, no host returns to an older configuration while it runs, and every host serves the newest one
+// after the faults.
+//
+// It runs the seeds that have found faults before, or those that the environment selects: SOAK_SEED is the first
+// seed, SOAK_SEEDS the number of seeds, SOAK_SECONDS the length of each run, and SOAK_HOSTS and SOAK_TARGETS the size
+// of the fleet.
 func TestSoak(t *testing.T) {
 	seeds := regressionSeeds
 	if first := intFromEnv(t, "SOAK_SEED", 0); first > 0 {
@@ -71,13 +84,13 @@
 			r.execute(length)
 			t.Logf("%d requests, faults %v", len(r.requests), r.faultCounts)
 			if len(r.violations) > 0 {
-				t.Errorf("%d promises broken: %s; logs of the hosts are in %s", len(r.violations), strings.Join(r.violations, "; "), r.keepLogs(seed))
+				t.Errorf("%d guarantees violated: %s; the logs of the hosts are in %s", len(r.violations), strings.Join(r.violations, "; "), r.keepLogs(seed))
 			}
 		})
 	}
 }
 
-// intFromEnv reads a number from the environment.
+// intFromEnv returns the whole number in an environment variable, or defaultValue if it is not set.
 func intFromEnv(t *testing.T, name string, defaultValue int) int {
 	value := os.Getenv(name)
 	if value == "" {
@@ -85,12 +98,12 @@
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil {
-		t.Fatalf("%s=%q: write a number", name, value)
+		t.Fatalf("%s=%q is not valid; set it to a whole number", name, value)
 	}
 	return n
 }
 
-// keepLogs copies the hosts' logs and settings to where they outlive the test.
+// keepLogs copies the hosts' logs and settings to a directory that is not removed after the test, and returns its path.
 func (r *soakRun) keepLogs(seed uint64) string {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	r.is.NoErr(err)
@@ -114,7 +127,8 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, arguments...))
 }
 
-// execute sends requests while several series of faults overlap, waits for order and judges.
+// execute sends requests from several callers while several goroutines inject faults, which overlap. Then it waits
+// until all hosts have recovered and checks the run counts.
 func (r *soakRun) execute(length time.Duration) {
 	end := time.Now().Add(length)
 	var faults, callers sync.WaitGroup
@@ -144,15 +158,15 @@
 		})
 	}
 	faults.Wait()
-	r.awaitRecovery()
+	r.waitForRecovery()
 	close(stop)
 	callers.Wait()
-	time.Sleep(2 * time.Second) // longer than any run that is still under way
+	time.Sleep(2 * time.Second) // longer than any run that is still in flight
 	r.checkRunCounts()
 }
 
-// awaitRecovery waits until every host serves again, under the newest configuration.
-func (r *soakRun) awaitRecovery() {
+// waitForRecovery waits until every host serves a route of the newest configuration.
+func (r *soakRun) waitForRecovery() {
 	path := fmt.Sprintf("/v%d/1", r.version)
 	if r.version == 1 {
 		path = "/lookup/1"
@@ -164,19 +178,20 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if !served {
-			r.reportViolation("%s does not serve %s, of the newest configuration, after the faults", p.name, path)
+			r.reportViolation("%s does not serve %s of the newest configuration after the faults have ended", p.name, path)
 		}
 	}
 }
 
-// state returns a host's incarnation and whether something ails its process.
+// state returns the number of starts of the process and whether it is disrupted or stopping.
 func (p *process) state() (starts int, disrupted, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.starts, p.disrupted, p.stopping
 }
 
-// sendRequest sends one request and checks at once what can be told at once.
+// sendRequest sends one random request to a random host that is not disrupted, checks the response and records the
+// request.
 func (r *soakRun) sendRequest() {
 	p, unsafe := r.hosts[r.intN(len(r.hosts))], r.intN(2) == 0
 	starts, disrupted, stopping := p.state()
@@ -185,8 +200,8 @@
 		return
 	}
 	r.mu.Lock()
-	r.requestCount++
-	id, version := fmt.Sprintf("q%d", r.requestCount), r.version
+	r.lastRequest++
+	id, version := fmt.Sprintf("q%d", r.lastRequest), r.version
 	r.mu.Unlock()
 	method, path := http.MethodGet, "/lookup/1"
 	if unsafe {
@@ -201,24 +216,24 @@
 	switch {
 	case got.err != nil && (disruptedAfter || startsAfter != starts):
 	case got.err != nil && (stopping || stoppingAfter) && r.runCount(id) == 0:
-		// The request crossed the close, or came after the end.
+		// The host closed the connection while the request was on its way, or had ended already.
 	case got.err != nil:
-		r.reportViolation("%s cut %s, which ran %d times: %v", p.name, id, r.runCount(id), got.err)
+		r.reportViolation("%s did not answer %s completely, which ran %d times: %v", p.name, id, r.runCount(id), got.err)
 	case got.status == http.StatusNotFound:
-		r.reportViolation("%s denied %s, which every configuration allows", p.name, id)
+		r.reportViolation("%s answered %s with status 404 although every configuration has its route", p.name, id)
 	case got.status == http.StatusOK && (got.body != "answer to "+id || got.seal != "seal."+id):
-		r.reportViolation("%s answered %s with %q", p.name, id, got.body)
+		r.reportViolation("%s answered %s with the wrong body %q or seal", p.name, id, got.body)
 	}
 	if r.intN(10) == 0 && version > 1 {
 		r.checkNoRollback(p, starts, version)
 	}
 }
 
-// checkNoRollback checks that an incarnation of a host serves no older configuration than before.
+// checkNoRollback checks that a host does not return to an older configuration while its process is running.
 func (r *soakRun) checkNoRollback(p *process, starts, version int) {
 	r.mu.Lock()
-	r.requestCount++
-	id, incarnation := fmt.Sprintf("back%d", r.requestCount), fmt.Sprintf("%s/%d", p.name, starts)
+	r.lastRequest++
+	id, incarnation := fmt.Sprintf("back%d", r.lastRequest), fmt.Sprintf("%s/%d", p.name, starts)
 	served := r.newestServed[incarnation]
 	r.mu.Unlock()
 	got := r.call(p, http.MethodGet, fmt.Sprintf("/v%d/1", version), id)
@@ -226,7 +241,7 @@
 		return
 	}
 	if got.status == http.StatusNotFound && served >= version {
-		r.reportViolation("%s went back from configuration %d", p.name, version)
+		r.reportViolation("%s no longer serves configuration %d, which it has served before", p.name, version)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,7 +250,7 @@
 	}
 }
 
-// checkRunCounts checks what only shows at the end: how often each request ran.
+// checkRunCounts checks how many times each request ran, which is only certain once all runs have ended.
 func (r *soakRun) checkRunCounts() {
 	for _, sent := range r.requests {
 		runs := r.runCount(sent.id)
@@ -243,12 +258,13 @@
 			r.reportViolation("unsafe request %s ran %d times", sent.id, runs)
 		}
 		if sent.refused && runs > 0 {
-			r.reportViolation("request %s was refused as not run and ran %d times", sent.id, runs)
+			r.reportViolation("request %s was refused as not run but ran %d times", sent.id, runs)
 		}
 	}
 }
 
-// randomHostFault draws a fault of a host's process.
+// randomHostFault chooses a fault of a host's process. It returns the fault's name in the test log and a function
+// that injects the fault and ends it. HostTold makes the host reload its settings.
 func (r *soakRun) randomHostFault() (string, func()) {
 	p := r.hosts[r.intN(len(r.hosts))]
 	duration := r.randomDuration(10*time.Millisecond, 2*time.Second)
@@ -258,19 +274,20 @@
 	case 1:
 		return "HostStopped", func() { r.restart(p, duration, syscall.SIGTERM) }
 	case 2:
-		return "HostPaused", func() { r.duration(p, duration) }
+		return "HostPaused", func() { r.pauseProcess(p, duration) }
 	}
 	return "HostTold", func() { r.sendSignal(p, syscall.SIGHUP) }
 }
 
-// sendSignal sends a signal to a host's present process.
+// sendSignal sends a signal to a host's current process.
 func (r *soakRun) sendSignal(p *process, s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.signal(p, s)
 }
 
-// beginFault marks a host as troubled or stopping and reports whether it was neither.
+// beginFault marks a process as disrupted or else as stopping. It returns false if the process is one of the two
+// already.
 func (p *process) beginFault(disrupted bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,7 +298,8 @@
 	return true
 }
 
-// restart ends a host by a signal, which comes twice, and starts it again after a while.
+// restart ends a host's process with a signal and starts it again after downtime. The signal is sent twice and
+// followed by SIGHUP: neither must abort the requests in flight of a host that is stopping gracefully.
 func (r *soakRun) restart(p *process, downtime time.Duration, s syscall.Signal) {
 	if !p.beginFault(s == syscall.SIGKILL) {
 		return
@@ -293,19 +311,19 @@
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		r.reportViolation("%s did not end within %v of %v", p.name, waitTimeout, s)
+		r.reportViolation("%s did not end within %v after the signal %v", p.name, waitTimeout, s)
 		return
 	}
 	time.Sleep(downtime)
-	r.start(p)
-	r.awaitReady(p)
+	r.startProcess(p)
+	r.waitReady(p)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disrupted, p.stopping = false, false
 }
 
-// duration stops a host's process for a while.
-func (r *soakRun) duration(p *process, duration time.Duration) {
+// pauseProcess suspends a host's process for a duration.
+func (r *soakRun) pauseProcess(p *process, duration time.Duration) {
 	if !p.beginFault(true) {
 		return
 	}
@@ -318,7 +336,8 @@
 	p.disrupted = false
 }
 
-// randomRelayFault draws a fault of the lines to a host, a server or the store.
+// randomRelayFault chooses a network fault of a relay before a host, a backend server or the store, as
+// randomHostFault does.
 func (r *soakRun) randomRelayFault() (string, func()) {
 	var relays []*relay
 	for _, p := range r.hosts {
@@ -352,7 +371,8 @@
 	return "LineRefuses", temporarily(relayMode{refuseConnections: true})
 }
 
-// randomStoreFault draws a fault of the store, or a change that the operator makes there.
+// randomStoreFault chooses a fault of the store, for one host or for all, or writes a new configuration, as an
+// operator would.
 func (r *soakRun) randomStoreFault() (string, func()) {
 	host, duration := "", r.randomDuration(50*time.Millisecond, 3*time.Second)
 	if r.intN(2) == 0 {
@@ -385,7 +405,7 @@
 	}
 }
 
-// randomTargetFault draws a fault of a backend server.
+// randomTargetFault chooses a fault of a backend server, or makes it drain or lose its registration for a while.
 func (r *soakRun) randomTargetFault() (string, func()) {
 	s, duration := r.targets[r.intN(len(r.targets))], r.randomDuration(50*time.Millisecond, 3*time.Second)
 	temporarily := func(change func(t *standin.Target, on bool)) func() {
