--- a/internal/platform/standin/calls.go
+++ b/internal/platform/standin/calls.go
@@ -71,12 +71,12 @@
 		return
 	}
 	if len(request.Compare) != 1 || len(request.Success) != 1 {
-		http.Error(w, "the stand-in supports only transactions with one comparison and one put", http.StatusBadRequest)
+		http.Error(w, "the stand-in takes one comparison and one put", http.StatusBadRequest)
 		return
 	}
 	compare, put := request.Compare[0], request.Success[0].RequestPut
 	if len(put.Value) > maxValueBytes {
-		http.Error(w, "the value is larger than 1 MB", http.StatusBadRequest)
+		http.Error(w, "value is above one megabyte", http.StatusBadRequest)
 		return
 	}
 	type operationResponse struct {
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -147,7 +147,7 @@
 			}
 		}
 		if faults.Down {
-			http.Error(w, "the store is set to refuse all calls", http.StatusServiceUnavailable)
+			http.Error(w, "service is down", http.StatusServiceUnavailable)
 			return
 		}
 		handler(w, r)
@@ -224,7 +224,7 @@
 
 func decodeRequest(w http.ResponseWriter, r *http.Request, request any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4<<20)).Decode(request); err != nil {
-		http.Error(w, "the request is not valid JSON: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
+		http.Error(w, "request is not valid JSON: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
 		return false
 	}
 	return true
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -53,7 +53,7 @@
 	id string
 	// unsafe is set for a request that must not run more than once.
 	unsafe bool
-	// refused is set if the caller was told that the request was not run.
+	// refused is set if the response stated that the request was not run.
 	refused bool
 }
 
@@ -336,8 +336,8 @@
 	p.disrupted = false
 }
 
-// randomRelayFault chooses a network fault of a relay before a host, a backend server or the store, as
-// randomHostFault does.
+// randomRelayFault chooses a network fault of the relay before a host, a backend server or the store, as
+// randomHostFault does. In the names of these faults, Line stands for the connections through the relay.
 func (r *soakRun) randomRelayFault() (string, func()) {
 	var relays []*relay
 	for _, p := range r.hosts {
