--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -25,7 +25,7 @@
 		f.publish(followingNote(1))
 		f.publish(followingNote(2))
 		f.awaitNote(3, noteBound)
-		f.store.SetFaults(standin.Faults{StaleRevision: old, SilentWatches: true})
+		f.store.SetFaults(standin.Faults{StaleRevision: old, SuppressWatchEvents: true})
 		f.crash("entry-3")
 		f.start("entry-3", "")
 		f.awaitNote(3, membershipBound)
@@ -47,7 +47,7 @@
 	}{
 		{"no faults", 13, noteBound, func(*fleet) {}},
 		{"no faults, planned size", 40, plannedSizeNoteBound, func(*fleet) {}},
-		{"watches silent", 13, noteBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SilentWatches: true}) }},
+		{"watches silent", 13, noteBound, func(f *fleet) { f.store.SetFaults(standin.Faults{SuppressWatchEvents: true}) }},
 		{"a third of the links down", 13, noteBound, func(f *fleet) {
 			for i, a := range f.order {
 				for j, b := range f.order {
@@ -104,7 +104,7 @@
 }
 
 // totalCalls returns the number of key-value calls; calls for the host list are left out, as that is another service.
-func totalCalls(s *standin.Standin) int64 {
+func totalCalls(s *standin.Server) int64 {
 	var sum int64
 	for call, n := range s.Calls() {
 		if call != standin.CallHosts {
@@ -122,8 +122,8 @@
 		faults standin.Faults
 	}{
 		{"no faults", standin.Faults{}},
-		{"lost confirmations", standin.Faults{LoseConfirmations: 2}},
-		{"late writes", standin.Faults{LateWrites: 2, LateBy: 300 * time.Millisecond}},
+		{"lost confirmations", standin.Faults{DropWriteResponses: 2}},
+		{"late writes", standin.Faults{DelayedWrites: 2, WriteDelay: 300 * time.Millisecond}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -81,7 +81,7 @@
 // grantFromStore returns the key with the grant that the store holds for it, and false if that cannot be decoded.
 func grantFromStore(k claim.Key, newGrant claim.Grant, result platform.CreateResult) (claim.Key, bool) {
 	k.Grant = newGrant
-	if result.Won {
+	if result.Created {
 		return k, true
 	}
 	var o owner
@@ -108,7 +108,7 @@
 	if p.lease != 0 && time.Since(p.leasedAt) < leaseRenewalAge {
 		return p.lease, nil
 	}
-	lease, err := p.store.Lease(ctx, claimLeaseTime)
+	lease, err := p.store.GrantLease(ctx, claimLeaseTime)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -266,9 +266,9 @@
 	case "store slow":
 		s.breakStore(standin.Faults{Delay: 700 * time.Millisecond}, last)
 	case "lost confirmation":
-		s.breakStore(standin.Faults{LoseConfirmations: 5}, last)
+		s.breakStore(standin.Faults{DropWriteResponses: 5}, last)
 	case "late write":
-		s.breakStore(standin.Faults{LateWrites: 3, LateBy: last / 2}, last)
+		s.breakStore(standin.Faults{DelayedWrites: 3, WriteDelay: last / 2}, last)
 	}
 }
 
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -137,7 +137,7 @@
 		s.Peers.Seeds = []string{first.inner}
 	}
 	dial := f.net.Dialer(name)
-	storeAddress := f.serve("store", "", f.store.For(name))
+	storeAddress := f.serve("store", "", f.store.HandlerFor(name))
 	store, closeStore := platform.NewStore(platform.StoreConfig{URL: "http://" + storeAddress, Timeout: time.Second, Dial: dial})
 	g, closeGateway := gateway.New(gateway.Config{
 		Settings: s, Dialect: platform.Dialect(), Store: store, Logger: zerolog.Nop(), Dial: dial,
@@ -177,7 +177,7 @@
 
 // register writes a target's entry to the store.
 func (f *fleet) register(t *standin.Target, state string) {
-	f.store.Put("servers/"+t.Name, t.Entry("stock", state))
+	f.store.Put("servers/"+t.Name, t.StoreValue("stock", state))
 }
 
 // reply is the response to a call, or its error.
@@ -214,7 +214,7 @@
 func (f *fleet) runsOf(id string) int {
 	sum := 0
 	for _, t := range f.targets {
-		sum += t.RunsOf(id)
+		sum += t.RunCount(id)
 	}
 	return sum
 }
@@ -223,7 +223,7 @@
 func (f *fleet) arrivalsOf(id string) int {
 	sum := 0
 	for _, t := range f.targets {
-		sum += t.ArrivalsOf(id)
+		sum += t.ArrivalCount(id)
 	}
 	return sum
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,7 +86,7 @@
 	Settings settings.Settings
 	Dialect  Dialect
 	// Store is the platform's store of configuration and targets.
-	Store  platform.Feed
+	Store  platform.WatchableStore
 	Logger zerolog.Logger
 	// Listen opens listeners; nil means net.Listen.
 	Listen func(network, address string) (net.Listener, error)
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -259,7 +259,7 @@
 // injectTemporary makes a target or the store misbehave for the duration of a fault.
 func (x *scenarioRun) injectTemporary(f fault, host string, server *standin.Target) {
 	faults := map[string]standin.Faults{
-		"StoreRefuses": {Status: 503}, "StoreRefusesOne": {Status: 503}, "StoreSilent": {Silent: true}, "StoreSlow": {Delay: 700 * time.Millisecond},
+		"StoreRefuses": {Status: 503}, "StoreRefusesOne": {Status: 503}, "StoreSilent": {Unresponsive: true}, "StoreSlow": {Delay: 700 * time.Millisecond},
 	}
 	if temporary, found := faults[f.Kind]; found {
 		if f.Kind != "StoreRefusesOne" {
@@ -271,18 +271,18 @@
 		return
 	}
 	change := func(on bool) {
-		server.Set(func(t *standin.Target) {
+		server.Update(func(t *standin.Target) {
 			switch f.Kind {
 			case "TargetLosesAnswers":
-				t.Lose = on
+				t.DropResponses = on
 			case "TargetCutsAnswers":
-				t.Cut = on
+				t.TruncateResponses = on
 			case "TargetSheds":
-				t.Shed = on
+				t.RefuseRuns = on
 			case "TargetSlow":
-				t.Work = 50 * time.Millisecond
+				t.RunDuration = 50 * time.Millisecond
 				if on {
-					t.Work = 600 * time.Millisecond
+					t.RunDuration = 600 * time.Millisecond
 				}
 			}
 		})
@@ -330,9 +330,9 @@
 	from := time.Now()
 	time.Sleep(f.Duration)
 	if !x.scenario.has(storeFaults...) && !x.scenario.has(hostFaults...) && !x.drainedAgain(f) {
-		server.Set(func(t *standin.Target) {
-			if t.Last.After(from) {
-				x.reportViolation("%s received a request %v after it began to drain", t.Name, drainTimeLimit+t.Last.Sub(from))
+		server.Update(func(t *standin.Target) {
+			if t.LastRunStart.After(from) {
+				x.reportViolation("%s received a request %v after it began to drain", t.Name, drainTimeLimit+t.LastRunStart.Sub(from))
 			}
 		})
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -170,7 +170,7 @@
 // readChanges waits for changes after a revision and returns the new revision.
 func (g *Gateway) readChanges(ctx context.Context, revision int64) (int64, error) {
 	g.stats.storeCalls.Add(1)
-	changes, next, err := g.config.Store.Follow(ctx, "", revision, watchTimeout)
+	changes, next, err := g.config.Store.WaitForChanges(ctx, "", revision, watchTimeout)
 	if err != nil {
 		return revision, err
 	}
--- a/internal/platform/standin/standin.go
+++ b/internal/platform/standin/standin.go
@@ -1,4 +1,5 @@
-// Package standin is a small in-memory stand-in for the platform's key-value service and host list, with faults to switch on.
+// Package standin provides an in-memory stand-in, for tests and demos, of the platform's key-value store and host
+// list. Tests can make it fail in several ways.
 package standin
 
 import (
@@ -12,38 +13,39 @@
 	"briarcroft/internal/platform"
 )
 
-// Call names one kind of call that the platform counts.
-type Call string
+// CallKind is a kind of call; Server.Calls counts calls by kind.
+type CallKind string
 
 // The kinds of call.
 const (
-	CallRange     Call = "Range"
-	CallTxn       Call = "Txn"
-	CallGrant     Call = "Grant"
-	CallKeepAlive Call = "KeepAlive"
-	CallRevoke    Call = "Revoke"
-	CallWatch     Call = "Watch"
-	CallHosts     Call = "Hosts"
+	CallRange     CallKind = "Range"
+	CallTxn       CallKind = "Txn"
+	CallGrant     CallKind = "Grant"
+	CallKeepAlive CallKind = "KeepAlive"
+	CallRevoke    CallKind = "Revoke"
+	CallWatch     CallKind = "Watch"
+	CallHosts     CallKind = "Hosts"
 )
 
-// Faults are the failures in force; the zero value is a healthy service.
+// Faults selects how a Server fails; the zero value is a healthy server.
 type Faults struct {
-	// Down refuses every call.
+	// Down refuses every call with status 503.
 	Down bool
-	// Delay holds each call back.
+	// Delay is how long each call waits before it is handled.
 	Delay time.Duration
-	// LoseConfirmations applies writes and drops the connection instead of answering, for so many writes.
-	LoseConfirmations int
-	// LateWrites drops the connection at once and applies the write LateBy afterwards, for so many writes.
-	LateWrites int
-	LateBy     time.Duration
-	// StaleRevision serves reads as of that revision when above zero.
+	// DropWriteResponses is the number of writes that are applied without a response: the connection is closed instead.
+	DropWriteResponses int
+	// DelayedWrites is the number of writes that are applied only after WriteDelay; the connection is closed at once.
+	DelayedWrites int
+	// WriteDelay is the delay of DelayedWrites.
+	WriteDelay time.Duration
+	// StaleRevision, if above zero, makes reads return the entries as they were at that revision.
 	StaleRevision int64
-	// SilentWatches keeps watches open without telling them of changes.
-	SilentWatches bool
+	// SuppressWatchEvents keeps watches open without sending changes to them.
+	SuppressWatchEvents bool
 }
 
-type version struct {
+type keyVersion struct {
 	revision int64
 	value    []byte
 	lease    int64
@@ -51,30 +53,30 @@
 }
 
 type watch struct {
-	from, end string
-	events    chan platform.Entry
+	start, end string
+	events     chan platform.Entry
 }
 
-// Standin is the service's state and its HTTP handler.
-type Standin struct {
+// Server is the HTTP handler of the key-value store and the host list. It is safe for concurrent use.
+type Server struct {
 	mu       sync.Mutex
 	revision int64
-	keys     map[string][]version
+	keys     map[string][]keyVersion
 	leases   map[int64]time.Time
 	watches  map[*watch]bool
 	hosts    []platform.ListedHost
-	// hostsVersion counts the changes of the list.
+	// hostsVersion counts the changes of the host list; it is the list's ETag.
 	hostsVersion int64
 	faults       Faults
-	calls        map[Call]int64
+	calls        map[CallKind]int64
 	mux          *http.ServeMux
 }
 
-// New returns an empty healthy service.
-func New() *Standin {
-	s := &Standin{
-		keys: map[string][]version{}, leases: map[int64]time.Time{}, watches: map[*watch]bool{},
-		calls: map[Call]int64{}, mux: http.NewServeMux(),
+// New returns an empty server without faults.
+func New() *Server {
+	s := &Server{
+		keys: map[string][]keyVersion{}, leases: map[int64]time.Time{}, watches: map[*watch]bool{},
+		calls: map[CallKind]int64{}, mux: http.NewServeMux(),
 	}
 	s.handle("POST /v3/kv/range", CallRange, s.serveRange)
 	s.handle("POST /v3/kv/txn", CallTxn, s.serveTxn)
@@ -87,17 +89,17 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults in force.
-func (s *Standin) SetFaults(f Faults) {
+// SetFaults replaces the faults.
+func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // SetHosts replaces the host list.
-func (s *Standin) SetHosts(hosts []platform.ListedHost) {
+func (s *Server) SetHosts(hosts []platform.ListedHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = hosts
@@ -105,25 +107,25 @@
 }
 
 // Calls returns the number of calls of each kind so far.
-func (s *Standin) Calls() map[Call]int64 {
+func (s *Server) Calls() map[CallKind]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := map[Call]int64{}
+	counts := map[CallKind]int64{}
 	for call, n := range s.calls {
 		counts[call] = n
 	}
 	return counts
 }
 
-// Revision returns the revision of the newest write.
-func (s *Standin) Revision() int64 {
+// Revision returns the store's present revision, which increases with every write, removal and lease.
+func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// LapseLeases ends every lease now, with the keys attached to it.
-func (s *Standin) LapseLeases() {
+// ExpireLeases ends every lease now and removes the keys that were written with one.
+func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
@@ -131,7 +133,7 @@
 	}
 }
 
-func (s *Standin) handle(pattern string, call Call, handler http.HandlerFunc) {
+func (s *Server) handle(pattern string, call CallKind, handler http.HandlerFunc) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls[call]++
@@ -152,44 +154,45 @@
 	})
 }
 
-func (s *Standin) endLease(id int64) {
+func (s *Server) endLease(id int64) {
 	delete(s.leases, id)
 	for key, versions := range s.keys {
 		if last := versions[len(versions)-1]; last.lease == id && !last.deleted {
 			s.revision++
-			s.keys[key] = append(versions, version{revision: s.revision, deleted: true})
+			s.keys[key] = append(versions, keyVersion{revision: s.revision, deleted: true})
 		}
 	}
 }
 
-func (s *Standin) expireLeases() {
+func (s *Server) endExpiredLeases() {
 	now := time.Now()
-	for id, until := range s.leases {
-		if now.After(until) {
+	for id, expiry := range s.leases {
+		if now.After(expiry) {
 			s.endLease(id)
 		}
 	}
 }
 
-// current returns the newest version of a key at or below a revision; revision 0 means now.
-func (s *Standin) current(key string, revision int64) (version, bool) {
+// versionAt returns the newest version of a key at a revision; revision 0 means the present one. It returns false if
+// the key did not exist then.
+func (s *Server) versionAt(key string, revision int64) (keyVersion, bool) {
 	versions := s.keys[key]
 	for i := len(versions) - 1; i >= 0; i-- {
 		if revision == 0 || versions[i].revision <= revision {
 			return versions[i], !versions[i].deleted
 		}
 	}
-	return version{}, false
+	return keyVersion{}, false
 }
 
-func (s *Standin) put(key string, value []byte, lease int64) {
+func (s *Server) put(key string, value []byte, lease int64) {
 	s.revision++
-	s.keys[key] = append(s.keys[key], version{revision: s.revision, value: value, lease: lease})
-	if s.faults.SilentWatches {
+	s.keys[key] = append(s.keys[key], keyVersion{revision: s.revision, value: value, lease: lease})
+	if s.faults.SuppressWatchEvents {
 		return
 	}
 	for w := range s.watches {
-		if key < w.from || key >= w.end {
+		if key < w.start || key >= w.end {
 			continue
 		}
 		select {
@@ -201,10 +204,10 @@
 	}
 }
 
-func (s *Standin) keysBetween(from, end string) []string {
+func (s *Server) keysBetween(start, end string) []string {
 	var keys []string
 	for key := range s.keys {
-		if key == from || (end != "" && key >= from && key < end) {
+		if key == start || (end != "" && key >= start && key < end) {
 			keys = append(keys, key)
 		}
 	}
@@ -212,14 +215,14 @@
 	return keys
 }
 
-func reply(w http.ResponseWriter, answer any) {
+func writeJSON(w http.ResponseWriter, response any) {
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(answer); err != nil {
+	if err := json.NewEncoder(w).Encode(response); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func read(w http.ResponseWriter, r *http.Request, request any) bool {
+func decodeRequest(w http.ResponseWriter, r *http.Request, request any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4<<20)).Decode(request); err != nil {
 		http.Error(w, "request is not valid JSON: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
 		return false
