--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -28,11 +28,11 @@
 // ErrNoAddress reports that no known entry host gave an address answer.
 var ErrNoAddress = namespace.NewType("no_address")
 
-// ErrRefused reports a connection that could not be opened; nothing was sent.
-var ErrRefused = namespace.NewType("refused")
+// ErrConnect reports a connection that could not be opened; nothing was sent.
+var ErrConnect = namespace.NewType("refused")
 
-// ErrCut reports an answer that did not come whole.
-var ErrCut = namespace.NewType("cut")
+// ErrIncompleteResponse reports an answer that did not come whole.
+var ErrIncompleteResponse = namespace.NewType("cut")
 
 // Numbers of the client.
 const (
@@ -80,19 +80,19 @@
 	Method  string
 	Path    string
 	Body    []byte
-	// Once asks that the request runs at most once.
-	Once bool
+	// AtMostOnce asks that the request runs at most once.
+	AtMostOnce bool
 }
 
-// Answer is how a request ended.
-type Answer struct {
+// Response is how a request ended.
+type Response struct {
 	Status  int
 	Outcome claim.Outcome
 	Header  http.Header
 	Body    []byte
 	// Key is the last Idempotency-Key used, and Keys all of them.
-	Keys  []string
-	Sends int
+	IdempotencyKeys []string
+	Attempts        int
 }
 
 // Addresses returns the address answer for a service, kept or fresh; errors are ErrNoAddress.
@@ -105,7 +105,7 @@
 	}
 	var last error
 	for _, host := range c.askOrder(k.Answer) {
-		answer, err := c.Ask(ctx, host, service)
+		answer, err := c.FetchAddresses(ctx, host, service)
 		if err != nil {
 			last = err
 			continue
@@ -133,8 +133,8 @@
 	return append(append(list, c.config.Seeds[first:]...), c.config.Seeds[:first]...)
 }
 
-// Ask asks one entry host for addresses; errors are ErrNoAddress.
-func (c *Client) Ask(ctx context.Context, host, service string) (address.Answer, error) {
+// FetchAddresses asks one entry host for addresses; errors are ErrNoAddress.
+func (c *Client) FetchAddresses(ctx context.Context, host, service string) (address.Answer, error) {
 	var answer address.Answer
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -169,9 +169,9 @@
 
 // Do sends a request until its outcome is known, as far as that is safe.
 // A request with Once keeps its key while it may have run, and takes a new one only when it was not run.
-// Errors are ErrNoAddress, ErrRefused or ErrCut.
-func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
-	var answer Answer
+// Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse.
+func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
+	var answer Response
 	var keys []string
 	key := ""
 	var err error
@@ -184,14 +184,14 @@
 			keys = append(keys, key)
 		}
 		answer, err = c.send(ctx, r, target, key)
-		answer.Keys, answer.Sends = keys, send
+		answer.IdempotencyKeys, answer.Attempts = keys, send
 		if err == nil && isFinal(r, answer) {
 			return answer, nil
 		}
 		if err != nil || answer.Status == http.StatusServiceUnavailable {
 			c.forget(r.Service)
 		}
-		if err == nil && answer.Outcome == claim.NotRun || send == 1 && errorx.IsOfType(err, ErrRefused) {
+		if err == nil && answer.Outcome == claim.NotRun || send == 1 && errorx.IsOfType(err, ErrConnect) {
 			key = ""
 		}
 		if !pause(ctx, retryAfter(answer)) {
@@ -202,14 +202,14 @@
 }
 
 // isFinal reports whether there is nothing to gain from sending again.
-func isFinal(r Request, a Answer) bool {
+func isFinal(r Request, a Response) bool {
 	if a.Outcome == "" || a.Outcome == claim.Ran {
 		return true
 	}
 	if a.Outcome == claim.NotRun {
 		return a.Status != http.StatusServiceUnavailable && a.Status != http.StatusConflict
 	}
-	return r.Once && a.Header.Get(steering.HeaderReason) == string(claim.ReasonInterrupted)
+	return r.AtMostOnce && a.Header.Get(steering.HeaderReason) == string(claim.ReasonInterrupted)
 }
 
 // aim chooses where to send, and a key for a request that has none yet.
@@ -219,7 +219,7 @@
 		return "", "", err
 	}
 	target := answer.Addresses[(send-1)%len(answer.Addresses)].Address
-	if !r.Once || key != "" {
+	if !r.AtMostOnce || key != "" {
 		return target, key, nil
 	}
 	return target, fmt.Sprintf("%s.%s", c.grant(ctx, target, r.Service, answer.Grant), c.suffix()), nil
@@ -234,7 +234,7 @@
 	if time.Now().Before(k.until) {
 		return k.Grant
 	}
-	own, err := c.Ask(ctx, target, service)
+	own, err := c.FetchAddresses(ctx, target, service)
 	if err != nil {
 		return other
 	}
@@ -250,10 +250,10 @@
 	return strconv.FormatUint(c.random.Uint64(), 36)
 }
 
-func (c *Client) send(ctx context.Context, r Request, target, key string) (Answer, error) {
+func (c *Client) send(ctx context.Context, r Request, target, key string) (Response, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+target+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return Answer{}, ErrCut.New("%v", err)
+		return Response{}, ErrIncompleteResponse.New("%v", err)
 	}
 	request.Header.Set(steering.HeaderDomain, c.config.Domain)
 	if key != "" {
@@ -262,21 +262,21 @@
 	response, err := c.transport.RoundTrip(request)
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return Answer{}, ErrRefused.New("%s: %v; the next address is tried", target, err)
+		return Response{}, ErrConnect.New("%s: %v; the next address is tried", target, err)
 	}
 	if err != nil {
-		return Answer{}, ErrCut.New("%s: %v", target, err)
+		return Response{}, ErrIncompleteResponse.New("%s: %v", target, err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	answer := Answer{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
+	answer := Response{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
 	if err != nil {
-		return answer, ErrCut.New("%s cut its answer after %d bytes: %v", target, len(body), err)
+		return answer, ErrIncompleteResponse.New("%s cut its answer after %d bytes: %v", target, len(body), err)
 	}
 	return answer, nil
 }
 
-func retryAfter(a Answer) time.Duration {
+func retryAfter(a Response) time.Duration {
 	if n, err := strconv.Atoi(a.Header.Get("Retry-After")); err == nil && n > 0 {
 		return time.Duration(n) * time.Second
 	}
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -30,7 +30,7 @@
 	for _, d := range demo.Deployments {
 		if d.Name == c.Deployment {
 			return demo.Run(context.Background(), demo.Config{
-				Deployment: d, Length: c.Length, RateFactor: c.Rate, Seed: c.Seed, Out: c.out, Logger: c.logger(level),
+				Deployment: d, Duration: c.Length, RateFactor: c.Rate, Seed: c.Seed, Out: c.out, Logger: c.logger(level),
 			})
 		}
 	}
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -24,12 +24,12 @@
 	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Load\tPolicy\tSeed\tAsked\tInGoal\tLate\tRefused\tLost\tWorth\tP50\tP99\tProbes/s\tRepeats")
 	played := 0
-	for _, load := range model.Loads() {
+	for _, load := range model.Workloads() {
 		if !strings.HasPrefix(load.Name, c.Load) {
 			continue
 		}
 		if c.Use > 0 {
-			load.Use = c.Use
+			load.OfferedLoad = c.Use
 		}
 		for _, policy := range model.Policies() {
 			if !strings.HasPrefix(policy.Name(), c.Policy) {
@@ -37,10 +37,10 @@
 			}
 			for seed := c.Seed; seed < c.Seed+c.Runs; seed++ {
 				load.Seed = seed
-				r := model.Play(policy, load)
+				r := model.Simulate(policy, load)
 				played++
 				fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\t%.1f\t%.3f\n",
-					r.Load, r.Policy, seed, r.Asked, r.InGoal, r.Late, r.Refused, r.Lost, r.Worth, r.P50, r.P99, r.Probes, r.Repeats)
+					r.Workload, r.Policy, seed, r.Requests, r.InGoal, r.Late, r.Refused, r.Lost, r.Utility, r.P50, r.P99, r.Probes, r.ExtraAttempts)
 			}
 		}
 	}
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -35,7 +35,7 @@
 		if rate < 1 {
 			return &flags.Error{Type: flags.ErrInvalidChoice, Message: "--rate must be 1 or more"}
 		}
-		step, err := measure.Run(context.Background(), measure.Config{Host: c.Hosts[0], Direct: c.Direct, Path: c.Path, Length: c.Length, Seed: 1}, rate)
+		step, err := measure.Run(context.Background(), measure.Config{EntryHost: c.Hosts[0], Backend: c.Direct, Path: c.Path, Duration: c.Length, Seed: 1}, rate)
 		if err != nil {
 			return err
 		}
@@ -59,7 +59,7 @@
 }
 
 func (c *measureCommand) control() error {
-	list, err := measure.RunControl(context.Background(), c.Hosts, c.Length)
+	list, err := measure.MeasureIdle(context.Background(), c.Hosts, c.Length)
 	if err != nil {
 		return err
 	}
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -260,10 +260,10 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				r := caller.Request{Service: "s", Method: http.MethodGet, Path: fmt.Sprintf("/%d", n)}
 				if i%2 == 0 {
-					r.Method, r.Once = http.MethodPost, true
+					r.Method, r.AtMostOnce = http.MethodPost, true
 				}
 				answer, err := client.Do(context.Background(), r)
-				if err != nil || answer.Status != http.StatusOK || answer.Sends != 1 {
+				if err != nil || answer.Status != http.StatusOK || answer.Attempts != 1 {
 					mu.Lock()
 					failures++
 					mu.Unlock()
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -38,7 +38,7 @@
 	go func() { done <- server.Serve(listener) }()
 	for i, address := range c.Backends {
 		target, stopTarget, err := demo.NewTarget(demo.TargetConfig{
-			Listen: address, Slots: c.Slots, Work: c.Work, AnswerBytes: sampleBytes, Seed: uint64(i),
+			Listen: address, Slots: c.Slots, ServiceTime: c.Work, ResponseBytes: sampleBytes, Seed: uint64(i),
 		})
 		if err != nil {
 			return errorx.Decorate(err, "--backend: choose a free address")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -25,8 +25,8 @@
 
 var namespace = errorx.NewNamespace("demo").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrBroken reports that a request was lost, doubled or cut, or that a note is not in force.
-var ErrBroken = namespace.NewType("broken_promise")
+// ErrCheckFailed reports that a request was lost, doubled or cut, or that a note is not in force.
+var ErrCheckFailed = namespace.NewType("broken_promise")
 
 // Numbers of the demo.
 const (
@@ -38,8 +38,8 @@
 // Config sets up a run.
 type Config struct {
 	Deployment Deployment
-	// Length is how long callers send.
-	Length time.Duration
+	// Duration is how long callers send.
+	Duration time.Duration
 	// RateFactor multiplies every rate.
 	RateFactor float64
 	Seed       uint64
@@ -54,7 +54,7 @@
 	storeURL string
 	client   platform.Store
 	archive  *note.Archive
-	ledger   *Ledger
+	ledger   *RunCounter
 	targets  map[string]*Target
 	hosts    []*running
 	callers  []*caller.Client
@@ -70,17 +70,17 @@
 
 // Run runs a deployment and returns ErrBroken if a promise was broken.
 func Run(ctx context.Context, c Config) error {
-	f := &fleet{config: c, ledger: NewLedger(), targets: map[string]*Target{}}
+	f := &fleet{config: c, ledger: NewRunCounter(), targets: map[string]*Target{}}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.Out, "%s: %d entry hosts, %d targets, note 1 in force everywhere\n", c.Deployment.Name, len(f.hosts), len(f.targets))
 	tally := newTally()
-	traffic, stopTraffic := context.WithTimeout(ctx, c.Length)
+	traffic, stopTraffic := context.WithTimeout(ctx, c.Duration)
 	defer stopTraffic()
 	var group sync.WaitGroup
-	for _, load := range c.Deployment.Loads {
+	for _, load := range c.Deployment.Workloads {
 		group.Go(func() { f.generate(traffic, load, tally) })
 	}
 	events := make(chan error, 1)
@@ -152,11 +152,11 @@
 }
 
 func (f *fleet) startTargets() error {
-	for _, load := range f.config.Deployment.Loads {
+	for _, load := range f.config.Deployment.Workloads {
 		for i := range load.Targets {
 			t, stop, err := NewTarget(TargetConfig{
-				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, Work: load.Work, Spread: workSpread,
-				AnswerBytes: load.AnswerBytes, Ledger: f.ledger, Seed: f.config.Seed + uint64(len(f.targets)),
+				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: load.ServiceTime, ServiceTimeSigma: workSpread,
+				ResponseBytes: load.ResponseBytes, RunCounter: f.ledger, Seed: f.config.Seed + uint64(len(f.targets)),
 			})
 			if err != nil {
 				return err
@@ -225,17 +225,17 @@
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return ErrBroken.New("note %d is not in force on %d of %d hosts after %v; see the log with --verbose", number, late, len(f.hosts), readyTimeout)
+			return ErrCheckFailed.New("note %d is not in force on %d of %d hosts after %v; see the log with --verbose", number, late, len(f.hosts), readyTimeout)
 		}
 	}
 }
 
 // events publishes a second note that withdraws a target and stops an entry host gracefully, under load.
 func (f *fleet) events(ctx context.Context, t *tally) error {
-	if !wait(ctx, f.config.Length*3/10) {
+	if !wait(ctx, f.config.Duration*3/10) {
 		return nil
 	}
-	load := f.config.Deployment.Loads[0]
+	load := f.config.Deployment.Workloads[0]
 	gone := TargetName(load.Service, load.Targets-1)
 	text := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", gone, gone)
 	n, err := note.Parse("second note", []byte(text))
@@ -252,7 +252,7 @@
 	t.inForce = time.Since(published)
 	before := f.targets[gone].Requests.Load()
 	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", gone, t.inForce.Round(time.Millisecond))
-	if !wait(ctx, f.config.Length*2/10) {
+	if !wait(ctx, f.config.Duration*2/10) {
 		return nil
 	}
 	t.afterWithdraw = f.targets[gone].Requests.Load() - before
@@ -261,7 +261,7 @@
 
 // stopHost stops the first home of the busiest service gracefully.
 func (f *fleet) stopHost(ctx context.Context, t *tally) error {
-	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Loads[0].Service)
+	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
 	if err != nil {
 		return err
 	}
@@ -297,7 +297,7 @@
 }
 
 // generate sends one service's requests as a Poisson stream and waits for all answers.
-func (f *fleet) generate(ctx context.Context, load Load, t *tally) {
+func (f *fleet) generate(ctx context.Context, load Workload, t *tally) {
 	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(load.Service))))
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -312,11 +312,11 @@
 }
 
 // one sends one request and checks its answer against what the targets did.
-func (f *fleet) one(client *caller.Client, load Load, i int, t *tally) {
+func (f *fleet) one(client *caller.Client, load Workload, i int, t *tally) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r := caller.Request{Service: load.Service, Method: load.Method, Path: fmt.Sprintf("%s%d", load.Path, i), Once: load.Once}
-	if load.Once {
+	r := caller.Request{Service: load.Service, Method: load.Method, Path: fmt.Sprintf("%s%d", load.Path, i), AtMostOnce: load.AtMostOnce}
+	if load.AtMostOnce {
 		r.Body = fmt.Appendf(nil, "%s %d", load.Service, i)
 	}
 	started := time.Now()
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Load is one service of a deployment with the traffic that its callers send.
-type Load struct {
-	Service     string
-	Class       string
-	Method      string
-	Path        string
-	Targets     int
-	Once        bool
-	Weight      int
-	Work        time.Duration
-	AnswerBytes int
+// Workload is one service of a deployment with the traffic that its callers send.
+type Workload struct {
+	Service       string
+	Class         string
+	Method        string
+	Path          string
+	Targets       int
+	AtMostOnce    bool
+	Weight        int
+	ServiceTime   time.Duration
+	ResponseBytes int
 	// Rate is in requests per second.
 	Rate float64
 }
 
 // Deployment is one of the firms' systems as it is today.
 type Deployment struct {
-	Name    string
-	Domains []string
-	Hosts   int
-	Slots   int
-	Loads   []Load
+	Name      string
+	Domains   []string
+	Hosts     int
+	Slots     int
+	Workloads []Workload
 }
 
 // Deployments lists the deployments that the demo knows.
 var Deployments = []Deployment{
 	{
 		Name: "stalverk", Domains: []string{"oslo", "bergen", "trondheim"}, Hosts: 13, Slots: 4,
-		Loads: []Load{
+		Workloads: []Workload{
 			{"certificate-lookup", "lookup", "GET", "/certificates/", 13, false, 2, 8 * time.Millisecond, 2 << 10, 220},
 			{"sign-off", "sign-off", "POST", "/sign-offs/", 8, true, 4, 12 * time.Millisecond, 512, 60},
 			{"scanned-documents", "download", "GET", "/scans/", 6, false, 1, 15 * time.Millisecond, 256 << 10, 25},
@@ -43,7 +43,7 @@
 	},
 	{
 		Name: "kiosques", Domains: []string{"ariana", "bizerte", "tunis"}, Hosts: 13, Slots: 3,
-		Loads: []Load{
+		Workloads: []Workload{
 			{"stock-lookup", "lookup", "GET", "/stock/", 14, false, 2, 8 * time.Millisecond, 1 << 10, 220},
 			{"order-booking", "order", "POST", "/orders/", 7, true, 4, 15 * time.Millisecond, 512, 50},
 			{"planogram-distribution", "download", "GET", "/planograms/", 6, false, 1, 15 * time.Millisecond, 512 << 10, 20},
@@ -56,7 +56,7 @@
 func (d Deployment) FirstNote(addresses func(target string) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[Note]\nFollows = 0\nOperator = demo\nReason = first note of %s\n", d.Name)
-	for _, l := range d.Loads {
+	for _, l := range d.Workloads {
 		fmt.Fprintf(&b, "\n[Service %s]\nReportPath = /Report\n", l.Service)
 		fmt.Fprintf(&b, "\n[Rule %s]\nPath = %s\nService = %s\nClass = %s\nWeight = %d\nDeadline = 5s\nNotRunStatuses = 503\n",
 			l.Class, l.Path, l.Service, l.Class, l.Weight)
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -28,19 +28,19 @@
 )
 
 // verdict compares an answer with what the targets did.
-func (f *fleet) verdict(load Load, r caller.Request, a caller.Answer, err error) verdict {
+func (f *fleet) verdict(load Workload, r caller.Request, a caller.Response, err error) verdict {
 	runs := 0
-	for _, key := range a.Keys {
+	for _, key := range a.IdempotencyKeys {
 		runs += f.ledger.Runs(key)
 	}
 	switch {
-	case load.Once && runs > 1:
+	case load.AtMostOnce && runs > 1:
 		return doubled
 	case err != nil:
 		return lost
-	case a.Status == http.StatusOK && !bytes.Equal(a.Body, Expected(r.Path, r.Body, load.AnswerBytes)):
+	case a.Status == http.StatusOK && !bytes.Equal(a.Body, ExpectedResponse(r.Path, r.Body, load.ResponseBytes)):
 		return cut
-	case a.Status == http.StatusOK && load.Once && runs != 1:
+	case a.Status == http.StatusOK && load.AtMostOnce && runs != 1:
 		return lost
 	case a.Status == http.StatusOK:
 		return answeredWhole
@@ -68,7 +68,7 @@
 
 func newTally() *tally { return &tally{classes: map[string]*classTally{}} }
 
-func (t *tally) add(load Load, a caller.Answer, err error, took time.Duration, v verdict) {
+func (t *tally) add(load Workload, a caller.Response, err error, took time.Duration, v verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.classes[load.Class]
@@ -77,7 +77,7 @@
 		t.classes[load.Class] = c
 	}
 	c.count[v]++
-	c.resends += int64(max(0, a.Sends-1))
+	c.resends += int64(max(0, a.Attempts-1))
 	if err != nil {
 		return
 	}
@@ -127,15 +127,15 @@
 		probes += target.Probes.Load()
 	}
 	fmt.Fprintf(f.config.Out, "probes per request %.4f; keys run twice %d; requests to the withdrawn target after note 2 was in force %d\n",
-		float64(probes)/float64(max(1, requests)), f.ledger.Doubled(), t.afterWithdraw)
+		float64(probes)/float64(max(1, requests)), f.ledger.DuplicateRuns(), t.afterWithdraw)
 	for _, r := range f.hosts {
 		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.Number())
 		if r.host.Number() != 2 {
 			bad++
 		}
 	}
-	if bad > 0 || f.ledger.Doubled() > 0 || t.afterWithdraw > 0 {
-		return ErrBroken.New("%d requests were lost, doubled or cut, or a host lags; see the table", bad)
+	if bad > 0 || f.ledger.DuplicateRuns() > 0 || t.afterWithdraw > 0 {
+		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or a host lags; see the table", bad)
 	}
 	fmt.Fprintln(f.config.Out, "0 lost, 0 doubled, 0 cut")
 	return nil
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -19,30 +19,30 @@
 // runHeader tells how long a target took, in microseconds, so that the added latency can be told apart.
 const runHeader = "Run-Microseconds"
 
-// Ledger counts how often each keyed request was run, over all targets.
-type Ledger struct {
+// RunCounter counts how often each keyed request was run, over all targets.
+type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{runs: map[string]int{}} }
+// NewRunCounter returns an empty ledger.
+func NewRunCounter() *RunCounter { return &RunCounter{runs: map[string]int{}} }
 
-func (l *Ledger) add(key string) {
+func (l *RunCounter) add(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[key]++
 }
 
 // Runs returns how often the request with a key was run.
-func (l *Ledger) Runs(key string) int {
+func (l *RunCounter) Runs(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[key]
 }
 
-// Doubled returns how many keys were run more than once.
-func (l *Ledger) Doubled() int {
+// DuplicateRuns returns how many keys were run more than once.
+func (l *RunCounter) DuplicateRuns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -58,13 +58,13 @@
 type TargetConfig struct {
 	Listen string
 	Slots  int
-	// Work is the mean time of a run and Spread the standard deviation of its logarithm.
-	Work   time.Duration
-	Spread float64
-	// AnswerBytes is the size of an answer.
-	AnswerBytes int
-	Ledger      *Ledger
-	Seed        uint64
+	// ServiceTime is the mean time of a run and Spread the standard deviation of its logarithm.
+	ServiceTime      time.Duration
+	ServiceTimeSigma float64
+	// ResponseBytes is the size of an answer.
+	ResponseBytes int
+	RunCounter    *RunCounter
+	Seed          uint64
 }
 
 // Target is a sample backend server: it runs requests in slots, reports its load and drains when asked.
@@ -122,14 +122,14 @@
 	}
 	arrived := time.Now()
 	t.slots <- struct{}{}
-	if key := r.Header.Get("Idempotency-Key"); key != "" && t.config.Ledger != nil {
-		t.config.Ledger.add(key)
+	if key := r.Header.Get("Idempotency-Key"); key != "" && t.config.RunCounter != nil {
+		t.config.RunCounter.add(key)
 	}
 	time.Sleep(t.work())
 	<-t.slots
 	w.Header().Set(runHeader, strconv.FormatInt(time.Since(arrived).Microseconds(), 10))
 	t.report(w)
-	answer := Expected(r.URL.Path, body, t.config.AnswerBytes)
+	answer := ExpectedResponse(r.URL.Path, body, t.config.ResponseBytes)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.Itoa(len(answer))))
 	// The entry host went away if this fails.
@@ -146,12 +146,12 @@
 func (t *Target) work() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	factor := math.Exp(t.config.Spread*t.random.NormFloat64() - t.config.Spread*t.config.Spread/2)
-	return time.Duration(factor * float64(t.config.Work))
+	factor := math.Exp(t.config.ServiceTimeSigma*t.random.NormFloat64() - t.config.ServiceTimeSigma*t.config.ServiceTimeSigma/2)
+	return time.Duration(factor * float64(t.config.ServiceTime))
 }
 
-// Expected returns the whole answer to a request, which its caller can check.
-func Expected(path string, body []byte, size int) []byte {
+// ExpectedResponseResponse returns the whole answer to a request, which its caller can check.
+func ExpectedResponse(path string, body []byte, size int) []byte {
 	h := fnv.New64a()
 	// A hash never fails to write.
 	_, _ = h.Write([]byte(path))
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -216,12 +216,12 @@
 				for n := 0; ctx.Err() == nil; n++ {
 					r := caller.Request{Service: "s", Method: http.MethodGet, Path: fmt.Sprintf("/%d", n)}
 					if i%2 == 0 {
-						r.Method, r.Once = http.MethodPost, true
+						r.Method, r.AtMostOnce = http.MethodPost, true
 					}
 					answer, err := client.Do(context.Background(), r)
 					f.is.NoErr(err)
 					f.is.Equal(answer.Status, http.StatusOK)
-					f.is.Equal(answer.Sends, 1)
+					f.is.Equal(answer.Attempts, 1)
 					mu.Lock()
 					count++
 					mu.Unlock()
--- a/internal/entry/serve_test.go
+++ b/internal/entry/serve_test.go
@@ -115,9 +115,9 @@
 		f.is.Equal(response.StatusCode, http.StatusOK)
 		f.is.Equal(body, "GET /x ")
 		f.is.True(response.Header.Get(steering.HeaderTarget) != "")
-		answer, err := f.newCaller(1).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodPost, Path: "/y", Body: []byte("b"), Once: true})
+		answer, err := f.newCaller(1).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodPost, Path: "/y", Body: []byte("b"), AtMostOnce: true})
 		f.is.NoErr(err)
 		f.is.Equal(string(answer.Body), "POST /y b")
-		f.is.Equal(backends[0].runsOf(answer.Keys[0])+backends[1].runsOf(answer.Keys[0]), 1)
+		f.is.Equal(backends[0].runsOf(answer.IdempotencyKeys[0])+backends[1].runsOf(answer.IdempotencyKeys[0]), 1)
 	})
 }
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -7,8 +7,8 @@
 	"briarcroft/internal/entry"
 )
 
-// Control is what one idle host spends on control, per second.
-type Control struct {
+// IdleUsage is what one idle host spends on control, per second.
+type IdleUsage struct {
 	Host string
 	// CoreShare is the share of one core.
 	CoreShare float64
@@ -20,8 +20,8 @@
 	Goroutines     int
 }
 
-// RunControl watches hosts for a while without sending anything; errors are ErrHost.
-func RunControl(ctx context.Context, hosts []string, length time.Duration) ([]Control, error) {
+// MeasureIdle watches hosts for a while without sending anything; errors are ErrNoStatus.
+func MeasureIdle(ctx context.Context, hosts []string, length time.Duration) ([]IdleUsage, error) {
 	before := make([]entry.ProcessStatus, len(hosts))
 	for i, host := range hosts {
 		var err error
@@ -30,14 +30,14 @@
 		}
 	}
 	wait(ctx, length)
-	var list []Control
+	var list []IdleUsage
 	for i, host := range hosts {
 		after, err := process(ctx, host)
 		if err != nil {
 			return nil, err
 		}
 		seconds := (after.Uptime - before[i].Uptime).Seconds()
-		list = append(list, Control{
+		list = append(list, IdleUsage{
 			Host: host, CoreShare: (after.Core - before[i].Core).Seconds() / seconds,
 			SentPerSec:     float64(after.InnerSent-before[i].InnerSent) / seconds,
 			ReceivedPerSec: float64(after.InnerReceived-before[i].InnerReceived) / seconds,
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -19,18 +19,18 @@
 
 var namespace = errorx.NewNamespace("measure").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrHost reports a host that gave no figures.
-var ErrHost = namespace.NewType("host")
+// ErrNoStatus reports a host that gave no figures.
+var ErrNoStatus = namespace.NewType("host")
 
 // Config says what to measure.
 type Config struct {
-	// Host is an entry host's address and Direct a backend server's.
-	Host   string
-	Direct string
-	Path   string
-	// Length is how long each rate is held.
-	Length time.Duration
-	Seed   uint64
+	// EntryHost is an entry host's address and Direct a backend server's.
+	EntryHost string
+	Backend   string
+	Path      string
+	// Duration is how long each rate is held.
+	Duration time.Duration
+	Seed     uint64
 }
 
 // Latency is the time to a whole answer, in microseconds.
@@ -55,18 +55,18 @@
 // connections is how many connections a load keeps open at the most.
 const connections = 256
 
-// Run holds one rate, first direct and then through the host; errors are ErrHost.
+// Run holds one rate, first direct and then through the host; errors are ErrNoStatus.
 func Run(ctx context.Context, c Config, rate int) (Step, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	step := Step{Rate: rate}
-	step.Direct = load(ctx, transport, c, c.Direct, rate)
-	before, err := process(ctx, c.Host)
+	step.Direct = load(ctx, transport, c, c.Backend, rate)
+	before, err := process(ctx, c.EntryHost)
 	if err != nil {
 		return step, err
 	}
-	step.Through = load(ctx, transport, c, c.Host, rate)
-	after, err := process(ctx, c.Host)
+	step.Through = load(ctx, transport, c, c.EntryHost, rate)
+	after, err := process(ctx, c.EntryHost)
 	if err != nil {
 		return step, err
 	}
@@ -83,7 +83,7 @@
 	defer closeClient()
 	status := client.Status(ctx)[0]
 	if status.Error != "" {
-		return entry.ProcessStatus{}, ErrHost.New("%s: %s", host, status.Error)
+		return entry.ProcessStatus{}, ErrNoStatus.New("%s: %s", host, status.Error)
 	}
 	return status.Status.Process, nil
 }
@@ -96,7 +96,7 @@
 	var failed int64
 	var group sync.WaitGroup
 	start := time.Now()
-	for due := time.Duration(0); due < c.Length; due += time.Duration(random.ExpFloat64() / float64(rate) * float64(time.Second)) {
+	for due := time.Duration(0); due < c.Duration; due += time.Duration(random.ExpFloat64() / float64(rate) * float64(time.Second)) {
 		waitExactly(ctx, start.Add(due))
 		if ctx.Err() != nil {
 			break
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -31,32 +31,32 @@
 	muteShare  = 0.5
 )
 
-// Load is a service with its callers and its troubles.
-type Load struct {
+// Workload is a service with its callers and its troubles.
+type Workload struct {
 	Name    string
 	Targets int
 	Slots   int
-	// Work is the mean time of a request at the usual pace, and Spread the deviation of its logarithm.
-	Work   time.Duration
-	Spread float64
-	// Goal is when an answer stops being worth most; Patience is how long callers wait.
-	Goal     time.Duration
-	Patience time.Duration
-	// Use is the rate of requests, relative to what quiet servers carry.
-	Use float64
-	// BurstUse takes its place between BurstFrom and BurstUntil.
-	BurstUse              float64
+	// ServiceTime is the mean time of a request at the usual pace, and Spread the deviation of its logarithm.
+	ServiceTime      time.Duration
+	ServiceTimeSigma float64
+	// LatencyGoal is when an answer stops being worth most; Patience is how long callers wait.
+	LatencyGoal   time.Duration
+	CallerTimeout time.Duration
+	// OfferedLoad is the rate of requests, relative to what quiet servers carry.
+	OfferedLoad float64
+	// BurstOfferedLoad takes its place between BurstFrom and BurstUntil.
+	BurstOfferedLoad      float64
 	BurstFrom, BurstUntil time.Duration
-	Length                time.Duration
-	// Travel is the way between two hosts, or a host and a server.
-	Travel time.Duration
+	Duration              time.Duration
+	// NetworkDelay is the way between two hosts, or a host and a server.
+	NetworkDelay time.Duration
 	// NoisyShare of the servers are Noise times slower; which ones is drawn anew every NoiseEvery, on average.
-	NoisyShare float64
-	Noise      float64
-	NoiseEvery time.Duration
-	// Crowding slows a run that starts when more than CrowdedShare of the slots are taken.
-	CrowdedShare float64
-	Crowding     float64
+	NoisyShare    float64
+	NoisyPace     float64
+	NoiseInterval time.Duration
+	// NearlyFullSlowdown slows a run that starts when more than CrowdedShare of the slots are taken.
+	NearlyFullShare    float64
+	NearlyFullSlowdown float64
 	// Fault strikes FaultShare of the servers between FaultFrom and FaultUntil.
 	Fault                 FaultKind
 	FaultShare            float64
@@ -70,23 +70,23 @@
 
 // Result is how a policy did.
 type Result struct {
-	Policy  string
-	Load    string
-	Asked   int
-	InGoal  int
-	Late    int
-	Refused int
-	Lost    int
-	// Worth is the share of the worth that was earned: 1 in the goal, lateWorth afterwards.
-	Worth float64
-	P50   time.Duration
-	P99   time.Duration
+	Policy   string
+	Workload string
+	Requests int
+	InGoal   int
+	Late     int
+	Refused  int
+	Lost     int
+	// Utility is the share of the worth that was earned: 1 in the goal, lateWorth afterwards.
+	Utility float64
+	P50     time.Duration
+	P99     time.Duration
 	// Probes counts per target and second.
 	Probes float64
-	// Repeats counts runs beyond the first, per request.
-	Repeats float64
-	// Held is the share of refused requests that waited for more than half of their patience before they were refused.
-	Held float64
+	// ExtraAttempts counts runs beyond the first, per request.
+	ExtraAttempts float64
+	// LateRefusalShare is the share of refused requests that waited for more than half of their patience before they were refused.
+	LateRefusalShare float64
 }
 
 // lateWorth is what an answer after the goal is worth.
@@ -95,7 +95,7 @@
 // simulation is one run of the model.
 type simulation struct {
 	clock
-	load      Load
+	load      Workload
 	random    *rand.Rand
 	servers   []*server
 	result    Result
@@ -106,11 +106,11 @@
 	held      int
 }
 
-// Play runs a policy against a load.
-func Play(p Policy, l Load) Result {
+// Simulate runs a policy against a load.
+func Simulate(p Policy, l Workload) Result {
 	s := &simulation{load: l, random: rand.New(rand.NewPCG(l.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	s.servers = newServers(s)
-	s.result.Policy, s.result.Load = p.Name(), l.Name
+	s.result.Policy, s.result.Workload = p.Name(), l.Name
 	player := start(s, p)
 	s.faults()
 	s.arrive(player)
@@ -129,34 +129,34 @@
 
 // rate returns the requests a second at this moment.
 func (s *simulation) rate() float64 {
-	use := s.load.Use
+	use := s.load.OfferedLoad
 	if s.now >= s.load.BurstFrom && s.now < s.load.BurstUntil {
-		use = s.load.BurstUse
+		use = s.load.BurstOfferedLoad
 	}
 	return use * Capacity(s.load)
 }
 
 // Capacity returns how many requests a second the quiet servers carry on average, all slots but the crowded ones in use.
-func Capacity(l Load) float64 {
+func Capacity(l Workload) float64 {
 	free := 0
 	for n := 1; n <= l.Slots; n++ {
-		if float64(n) <= l.CrowdedShare*float64(l.Slots) {
+		if float64(n) <= l.NearlyFullShare*float64(l.Slots) {
 			free = n
 		}
 	}
-	return float64(l.Targets) * (1 - l.NoisyShare) * float64(max(1, free)) / l.Work.Seconds()
+	return float64(l.Targets) * (1 - l.NoisyShare) * float64(max(1, free)) / l.ServiceTime.Seconds()
 }
 
 // arrive lets callers come until the load ends.
 func (s *simulation) arrive(p player) {
-	if s.now >= s.load.Length {
+	if s.now >= s.load.Duration {
 		return
 	}
 	s.after(time.Duration(s.random.ExpFloat64()/s.rate()*float64(time.Second)), func() {
 		s.last++
-		j := &job{id: s.last, born: s.now, goal: s.now + s.load.Goal, deadline: s.now + s.load.Patience, work: workOf(s.random, s.load)}
+		j := &job{id: s.last, born: s.now, goal: s.now + s.load.LatencyGoal, deadline: s.now + s.load.CallerTimeout, work: workOf(s.random, s.load)}
 		if s.now >= warmUp {
-			s.result.Asked++
+			s.result.Requests++
 		}
 		p.arrived(j)
 		s.arrive(p)
@@ -185,7 +185,7 @@
 func (s *simulation) refused(j *job) {
 	if !j.ended && j.born >= warmUp {
 		s.result.Refused++
-		if 2*(s.now-j.born) > s.load.Patience {
+		if 2*(s.now-j.born) > s.load.CallerTimeout {
 			s.held++
 		}
 	}
@@ -193,17 +193,17 @@
 }
 
 // length is how long a run takes: until the last caller has its answer or gives up.
-func (s *simulation) length() time.Duration { return s.load.Length + s.load.Patience }
+func (s *simulation) length() time.Duration { return s.load.Duration + s.load.CallerTimeout }
 
 func (s *simulation) total() Result {
 	r := s.result
-	r.Lost = r.Asked - r.InGoal - r.Late - r.Refused
-	if r.Asked > 0 {
-		r.Worth = (float64(r.InGoal) + lateWorth*float64(r.Late)) / float64(r.Asked)
-		r.Repeats = float64(s.repeats) / float64(r.Asked)
+	r.Lost = r.Requests - r.InGoal - r.Late - r.Refused
+	if r.Requests > 0 {
+		r.Utility = (float64(r.InGoal) + lateWorth*float64(r.Late)) / float64(r.Requests)
+		r.ExtraAttempts = float64(s.repeats) / float64(r.Requests)
 	}
 	if r.Refused > 0 {
-		r.Held = float64(s.held) / float64(r.Refused)
+		r.LateRefusalShare = float64(s.held) / float64(r.Refused)
 	}
 	r.P50 = time.Duration(s.latencies.ValueAtQuantile(50)) * time.Microsecond
 	r.P99 = time.Duration(s.latencies.ValueAtQuantile(99)) * time.Microsecond
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -123,7 +123,7 @@
 		return false
 	}
 	inGoal := p.sim.now+time.Duration(took*float64(time.Second)) <= j.goal
-	hopeless := p.sim.now+p.sim.load.Work > j.goal
+	hopeless := p.sim.now+p.sim.load.ServiceTime > j.goal
 	if !inGoal && (!hopeless || 2*free < slots) {
 		return false
 	}
@@ -136,9 +136,9 @@
 
 // expected returns what a request of mean work would take if it started now, in seconds.
 func (s *server) expected() float64 {
-	t := s.sim.load.Work.Seconds() * s.pace
-	if float64(len(s.running)+1) > s.sim.load.CrowdedShare*float64(s.sim.load.Slots) {
-		t *= s.sim.load.Crowding
+	t := s.sim.load.ServiceTime.Seconds() * s.pace
+	if float64(len(s.running)+1) > s.sim.load.NearlyFullShare*float64(s.sim.load.Slots) {
+		t *= s.sim.load.NearlyFullSlowdown
 	}
 	if s.fault == Slow {
 		t *= slowFactor
@@ -164,9 +164,9 @@
 func (p *directPlayer) arrived(j *job) {
 	index, done := p.choose()
 	server := p.sim.servers[index]
-	p.sim.after(p.sim.load.Travel, func() {
+	p.sim.after(p.sim.load.NetworkDelay, func() {
 		taken := server.accept(&run{job: j, done: func(bool) {
-			p.sim.after(p.sim.load.Travel, func() {
+			p.sim.after(p.sim.load.NetworkDelay, func() {
 				done()
 				p.sim.answered(j)
 			})
@@ -240,9 +240,9 @@
 	for _, p := range h.home.Probes(h.sim.now) {
 		server := h.server(p.Target)
 		h.sim.probes++
-		h.sim.after(h.sim.load.Travel, func() {
+		h.sim.after(h.sim.load.NetworkDelay, func() {
 			load := server.report()
-			h.sim.after(h.sim.load.Travel, func() {
+			h.sim.after(h.sim.load.NetworkDelay, func() {
 				h.home.Probed(h.sim.now, server.name, placement.Healthy, &load)
 				h.probe()
 			})
@@ -261,7 +261,7 @@
 
 func (h *homePlayer) arrived(j *job) {
 	h.jobs[j.id] = j
-	h.sim.after(h.sim.load.Travel, func() { h.ask(j, nil) })
+	h.sim.after(h.sim.load.NetworkDelay, func() { h.ask(j, nil) })
 }
 
 func (h *homePlayer) ask(j *job, tried []string) {
@@ -276,12 +276,12 @@
 	j := h.jobs[r.ID.Number]
 	switch v := v.(type) {
 	case placement.Placed:
-		h.sim.after(2*h.sim.load.Travel, func() { h.send(j, v.Target) })
+		h.sim.after(2*h.sim.load.NetworkDelay, func() { h.send(j, v.Target) })
 	case placement.Hedge:
 		h.sim.repeats++
-		h.sim.after(2*h.sim.load.Travel, func() { h.send(j, v.Target) })
+		h.sim.after(2*h.sim.load.NetworkDelay, func() { h.send(j, v.Target) })
 	case placement.Refused:
-		h.sim.after(h.sim.load.Travel, func() { h.sim.refused(j) })
+		h.sim.after(h.sim.load.NetworkDelay, func() { h.sim.refused(j) })
 	}
 }
 
@@ -296,7 +296,7 @@
 	r := &run{job: j}
 	r.done = func(bool) {
 		load := server.report()
-		h.sim.after(h.sim.load.Travel, func() {
+		h.sim.after(h.sim.load.NetworkDelay, func() {
 			first := !j.ended
 			h.sim.answered(j)
 			h.tell(j, name, placement.Answered, h.sim.now-sent, &load)
@@ -316,7 +316,7 @@
 
 // tell reports the end of a run to the home.
 func (h *homePlayer) tell(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.Load) {
-	h.sim.after(h.sim.load.Travel, func() {
+	h.sim.after(h.sim.load.NetworkDelay, func() {
 		h.home.Done(h.sim.now, placement.Done{ID: placement.ID{Number: j.id}, Target: name, Outcome: outcome, Took: took, Load: load})
 		h.probe()
 	})
@@ -328,7 +328,7 @@
 		if r == winner {
 			continue
 		}
-		h.sim.after(h.sim.load.Travel, func() { r.server.cancel(r) })
+		h.sim.after(h.sim.load.NetworkDelay, func() { r.server.cancel(r) })
 		h.tell(j, r.server.name, placement.Abandoned, 0, nil)
 	}
 	delete(h.runs, j.id)
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -60,8 +60,8 @@
 	s.running = append(s.running, r)
 	r.started = s.sim.now
 	factor := s.pace
-	if float64(len(s.running)) > load.CrowdedShare*float64(load.Slots) {
-		factor *= load.Crowding
+	if float64(len(s.running)) > load.NearlyFullShare*float64(load.Slots) {
+		factor *= load.NearlyFullSlowdown
 	}
 	if s.fault == Slow {
 		factor *= slowFactor
@@ -112,9 +112,9 @@
 	load := s.sim.load
 	s.pace = 1
 	if s.sim.random.Float64() < load.NoisyShare {
-		s.pace = load.Noise
+		s.pace = load.NoisyPace
 	}
-	s.sim.after(time.Duration(s.sim.random.ExpFloat64()*float64(load.NoiseEvery)), s.drift)
+	s.sim.after(time.Duration(s.sim.random.ExpFloat64()*float64(load.NoiseInterval)), s.drift)
 }
 
 func newServers(sim *simulation) []*server {
@@ -128,6 +128,6 @@
 }
 
 // workOf draws the time that a request takes at the usual pace.
-func workOf(random *rand.Rand, l Load) float64 {
-	return l.Work.Seconds() * math.Exp(l.Spread*random.NormFloat64()-l.Spread*l.Spread/2)
+func workOf(random *rand.Rand, l Workload) float64 {
+	return l.ServiceTime.Seconds() * math.Exp(l.ServiceTimeSigma*random.NormFloat64()-l.ServiceTimeSigma*l.ServiceTimeSigma/2)
 }
