--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -36,9 +36,9 @@
 
 // Numbers of the client.
 const (
-	maxSends    = 6
-	resendPause = 50 * time.Millisecond
-	askTimeout  = time.Second
+	maxAttempts       = 6
+	defaultRetryDelay = 50 * time.Millisecond
+	addressTimeout    = time.Second
 )
 
 // Config sets up a Client.
@@ -53,24 +53,24 @@
 
 // Client sends requests to services through entry hosts. It is safe for concurrent use.
 type Client struct {
-	config    Config
-	transport *http.Transport
-	mu        sync.Mutex
-	random    *rand.Rand
-	answers   map[string]kept
-	// grants holds the answers of single entry hosts, for their grants.
-	grants map[string]kept
+	config           Config
+	transport        *http.Transport
+	mu               sync.Mutex
+	random           *rand.Rand
+	answersByService map[string]cachedAnswer
+	// answersByHost holds the answers of single entry hosts, for their grants.
+	answersByHost map[string]cachedAnswer
 }
 
-type kept struct {
+type cachedAnswer struct {
 	address.Answer
-	until time.Time
+	expiresAt time.Time
 }
 
 // New returns a client and the function that closes its connections.
 func New(c Config) (*Client, func()) {
 	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true, DialContext: c.Dial}
-	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), answers: map[string]kept{}, grants: map[string]kept{}}
+	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), answersByService: map[string]cachedAnswer{}, answersByHost: map[string]cachedAnswer{}}
 	return client, t.CloseIdleConnections
 }
 
@@ -98,20 +98,20 @@
 // Addresses returns the address answer for a service, kept or fresh; errors are ErrNoAddress.
 func (c *Client) Addresses(ctx context.Context, service string) (address.Answer, error) {
 	c.mu.Lock()
-	k, found := c.answers[service]
+	k, found := c.answersByService[service]
 	c.mu.Unlock()
-	if found && time.Now().Before(k.until) {
+	if found && time.Now().Before(k.expiresAt) {
 		return k.Answer, nil
 	}
 	var last error
-	for _, host := range c.askOrder(k.Answer) {
+	for _, host := range c.hostsToAsk(k.Answer) {
 		answer, err := c.FetchAddresses(ctx, host, service)
 		if err != nil {
 			last = err
 			continue
 		}
 		c.mu.Lock()
-		c.answers[service] = kept{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
+		c.answersByService[service] = cachedAnswer{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
 		c.mu.Unlock()
 		return answer, nil
 	}
@@ -121,8 +121,8 @@
 	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, last)
 }
 
-// askOrder returns the hosts of the last answer and then the seeds, from a random place on.
-func (c *Client) askOrder(last address.Answer) []string {
+// hostsToAsk returns the hosts of the last answer and then the seeds, from a random place on.
+func (c *Client) hostsToAsk(last address.Answer) []string {
 	var list []string
 	for _, a := range last.Addresses {
 		list = append(list, a.Address)
@@ -136,7 +136,7 @@
 // FetchAddresses asks one entry host for addresses; errors are ErrNoAddress.
 func (c *Client) FetchAddresses(ctx context.Context, host, service string) (address.Answer, error) {
 	var answer address.Answer
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	query := url.Values{"Service": {service}, "Domain": {c.config.Domain}}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+"/Addresses?"+query.Encode(), nil)
@@ -157,13 +157,13 @@
 	return answer, nil
 }
 
-func (c *Client) forget(service string) {
+func (c *Client) expireAnswers(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.grants)
-	if k, found := c.answers[service]; found {
-		k.until = time.Time{}
-		c.answers[service] = k
+	clear(c.answersByHost)
+	if k, found := c.answersByService[service]; found {
+		k.expiresAt = time.Time{}
+		c.answersByService[service] = k
 	}
 }
 
@@ -175,9 +175,9 @@
 	var keys []string
 	key := ""
 	var err error
-	for send := 1; send <= maxSends; send++ {
+	for send := 1; send <= maxAttempts; send++ {
 		var target string
-		if target, key, err = c.aim(ctx, r, key, send); err != nil {
+		if target, key, err = c.chooseHost(ctx, r, key, send); err != nil {
 			return answer, err
 		}
 		if key != "" && (len(keys) == 0 || keys[len(keys)-1] != key) {
@@ -189,12 +189,12 @@
 			return answer, nil
 		}
 		if err != nil || answer.Status == http.StatusServiceUnavailable {
-			c.forget(r.Service)
+			c.expireAnswers(r.Service)
 		}
 		if err == nil && answer.Outcome == claim.NotRun || send == 1 && errorx.IsOfType(err, ErrConnect) {
 			key = ""
 		}
-		if !pause(ctx, retryAfter(answer)) {
+		if !sleep(ctx, retryDelay(answer)) {
 			break
 		}
 	}
@@ -212,8 +212,8 @@
 	return r.AtMostOnce && a.Header.Get(steering.HeaderReason) == string(claim.ReasonInterrupted)
 }
 
-// aim chooses where to send, and a key for a request that has none yet.
-func (c *Client) aim(ctx context.Context, r Request, key string, send int) (string, string, error) {
+// chooseHost chooses where to send, and a key for a request that has none yet.
+func (c *Client) chooseHost(ctx context.Context, r Request, key string, send int) (string, string, error) {
 	answer, err := c.Addresses(ctx, r.Service)
 	if err != nil {
 		return "", "", err
@@ -222,16 +222,16 @@
 	if !r.AtMostOnce || key != "" {
 		return target, key, nil
 	}
-	return target, fmt.Sprintf("%s.%s", c.grant(ctx, target, r.Service, answer.Grant), c.suffix()), nil
+	return target, fmt.Sprintf("%s.%s", c.grantFrom(ctx, target, r.Service, answer.Grant), c.newKeySuffix()), nil
 }
 
-// grant returns a grant of the host that a request is sent to, so that no other host has to pass it on; or the given one
+// grantFrom returns a grant of the host that a request is sent to, so that no other host has to pass it on; or the given one
 // when that host does not answer. A grant is kept for as long as an address answer.
-func (c *Client) grant(ctx context.Context, target, service, other string) string {
+func (c *Client) grantFrom(ctx context.Context, target, service, other string) string {
 	c.mu.Lock()
-	k := c.grants[target]
+	k := c.answersByHost[target]
 	c.mu.Unlock()
-	if time.Now().Before(k.until) {
+	if time.Now().Before(k.expiresAt) {
 		return k.Grant
 	}
 	own, err := c.FetchAddresses(ctx, target, service)
@@ -240,11 +240,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.grants[target] = kept{own, time.Now().Add(time.Duration(own.MaxAge) * time.Second)}
+	c.answersByHost[target] = cachedAnswer{own, time.Now().Add(time.Duration(own.MaxAge) * time.Second)}
 	return own.Grant
 }
 
-func (c *Client) suffix() string {
+func (c *Client) newKeySuffix() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strconv.FormatUint(c.random.Uint64(), 36)
@@ -276,14 +276,14 @@
 	return answer, nil
 }
 
-func retryAfter(a Response) time.Duration {
+func retryDelay(a Response) time.Duration {
 	if n, err := strconv.Atoi(a.Header.Get("Retry-After")); err == nil && n > 0 {
 		return time.Duration(n) * time.Second
 	}
-	return resendPause
+	return defaultRetryDelay
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -32,7 +32,7 @@
 const (
 	callersPerDomain = 4
 	readyTimeout     = 15 * time.Second
-	workSpread       = 0.4
+	serviceTimeSigma = 0.4
 )
 
 // Config sets up a run.
@@ -49,20 +49,20 @@
 
 // fleet is everything that a run started.
 type fleet struct {
-	config   Config
-	store    *standin.Standin
-	storeURL string
-	client   platform.Store
-	archive  *note.Archive
-	ledger   *RunCounter
-	targets  map[string]*Target
-	hosts    []*running
-	callers  []*caller.Client
-	closers  []func()
+	config     Config
+	store      *standin.Standin
+	storeURL   string
+	client     platform.Store
+	archive    *note.Archive
+	runCounter *RunCounter
+	targets    map[string]*Target
+	hosts      []*runningHost
+	callers    []*caller.Client
+	cleanups   []func()
 }
 
-// running is one entry host of the run.
-type running struct {
+// runningHost is one entry host of the run.
+type runningHost struct {
 	host *entry.Host
 	stop context.CancelFunc
 	done chan error
@@ -70,27 +70,27 @@
 
 // Run runs a deployment and returns ErrBroken if a promise was broken.
 func Run(ctx context.Context, c Config) error {
-	f := &fleet{config: c, ledger: NewRunCounter(), targets: map[string]*Target{}}
+	f := &fleet{config: c, runCounter: NewRunCounter(), targets: map[string]*Target{}}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.Out, "%s: %d entry hosts, %d targets, note 1 in force everywhere\n", c.Deployment.Name, len(f.hosts), len(f.targets))
-	tally := newTally()
+	tally := newResults()
 	traffic, stopTraffic := context.WithTimeout(ctx, c.Duration)
 	defer stopTraffic()
 	var group sync.WaitGroup
 	for _, load := range c.Deployment.Workloads {
-		group.Go(func() { f.generate(traffic, load, tally) })
+		group.Go(func() { f.sendRequests(traffic, load, tally) })
 	}
 	events := make(chan error, 1)
-	go func() { events <- f.events(traffic, tally) }()
-	f.progress(traffic, tally)
+	go func() { events <- f.runEvents(traffic, tally) }()
+	f.printProgress(traffic, tally)
 	group.Wait()
 	if err := <-events; err != nil {
 		return err
 	}
-	return f.judge(tally)
+	return f.printResults(tally)
 }
 
 func (f *fleet) close() {
@@ -100,8 +100,8 @@
 	for _, r := range f.hosts {
 		<-r.done
 	}
-	slices.Reverse(f.closers)
-	for _, closer := range f.closers {
+	slices.Reverse(f.cleanups)
+	for _, closer := range f.cleanups {
 		closer()
 	}
 }
@@ -123,7 +123,7 @@
 	if _, err := f.archive.Publish(ctx, n, "demo-1", time.Now()); err != nil {
 		return err
 	}
-	if err := f.await(ctx, 1); err != nil {
+	if err := f.awaitNote(ctx, 1); err != nil {
 		return err
 	}
 	f.startCallers()
@@ -139,14 +139,14 @@
 	server := &http.Server{Handler: f.store, ReadHeaderTimeout: 5 * time.Second}
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(listener) }()
-	f.closers = append(f.closers, func() {
+	f.cleanups = append(f.cleanups, func() {
 		// The server is this run's own.
 		_ = server.Close()
 		<-done
 	})
 	f.storeURL = "http://" + listener.Addr().String()
 	client, closeClient := platform.NewEtcd(platform.EtcdConfig{URL: f.storeURL, Timeout: time.Second})
-	f.closers = append(f.closers, closeClient)
+	f.cleanups = append(f.cleanups, closeClient)
 	f.client, f.archive = client, note.NewArchive(note.ArchiveConfig{Store: client})
 	return nil
 }
@@ -155,14 +155,14 @@
 	for _, load := range f.config.Deployment.Workloads {
 		for i := range load.Targets {
 			t, stop, err := NewTarget(TargetConfig{
-				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: load.ServiceTime, ServiceTimeSigma: workSpread,
-				ResponseBytes: load.ResponseBytes, RunCounter: f.ledger, Seed: f.config.Seed + uint64(len(f.targets)),
+				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: load.ServiceTime, ServiceTimeSigma: serviceTimeSigma,
+				ResponseBytes: load.ResponseBytes, RunCounter: f.runCounter, Seed: f.config.Seed + uint64(len(f.targets)),
 			})
 			if err != nil {
 				return err
 			}
 			f.targets[TargetName(load.Service, i)] = t
-			f.closers = append(f.closers, stop)
+			f.cleanups = append(f.cleanups, stop)
 		}
 	}
 	return nil
@@ -184,12 +184,12 @@
 		if err != nil {
 			return err
 		}
-		f.closers = append(f.closers, closeList, closeStore, closeHost)
+		f.cleanups = append(f.cleanups, closeList, closeStore, closeHost)
 		if len(seeds) < 2 {
 			seeds = append(seeds, h.Inner())
 		}
 		stop, cancel := context.WithCancel(context.Background())
-		r := &running{h, cancel, make(chan error, 1)}
+		r := &runningHost{h, cancel, make(chan error, 1)}
 		go func() { r.done <- h.Serve(stop, context.Background()) }()
 		f.hosts = append(f.hosts, r)
 	}
@@ -204,12 +204,12 @@
 	for i := range callersPerDomain * len(f.config.Deployment.Domains) {
 		c, closeCaller := caller.New(caller.Config{Seeds: seeds, Domain: f.config.Deployment.Domains[i%len(f.config.Deployment.Domains)], Seed: f.config.Seed + uint64(i)})
 		f.callers = append(f.callers, c)
-		f.closers = append(f.closers, closeCaller)
+		f.cleanups = append(f.cleanups, closeCaller)
 	}
 }
 
-// await returns once a note is in force on every host that is not stopped.
-func (f *fleet) await(ctx context.Context, number int) error {
+// awaitNote returns once a note is in force on every host that is not stopped.
+func (f *fleet) awaitNote(ctx context.Context, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
@@ -230,9 +230,9 @@
 	}
 }
 
-// events publishes a second note that withdraws a target and stops an entry host gracefully, under load.
-func (f *fleet) events(ctx context.Context, t *tally) error {
-	if !wait(ctx, f.config.Duration*3/10) {
+// runEvents publishes a second note that withdraws a target and stops an entry host gracefully, under load.
+func (f *fleet) runEvents(ctx context.Context, t *results) error {
+	if !sleep(ctx, f.config.Duration*3/10) {
 		return nil
 	}
 	load := f.config.Deployment.Workloads[0]
@@ -246,21 +246,21 @@
 	if _, err := f.archive.Publish(ctx, n, "demo-2", published); err != nil {
 		return err
 	}
-	if err := f.await(ctx, 2); err != nil {
+	if err := f.awaitNote(ctx, 2); err != nil {
 		return err
 	}
-	t.inForce = time.Since(published)
+	t.noteDelay = time.Since(published)
 	before := f.targets[gone].Requests.Load()
-	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", gone, t.inForce.Round(time.Millisecond))
-	if !wait(ctx, f.config.Duration*2/10) {
+	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", gone, t.noteDelay.Round(time.Millisecond))
+	if !sleep(ctx, f.config.Duration*2/10) {
 		return nil
 	}
-	t.afterWithdraw = f.targets[gone].Requests.Load() - before
+	t.requestsAfterWithdrawal = f.targets[gone].Requests.Load() - before
 	return f.stopHost(ctx, t)
 }
 
 // stopHost stops the first home of the busiest service gracefully.
-func (f *fleet) stopHost(ctx context.Context, t *tally) error {
+func (f *fleet) stopHost(ctx context.Context, t *results) error {
 	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
 	if err != nil {
 		return err
@@ -273,21 +273,21 @@
 		started := time.Now()
 		r.stop()
 		err := <-r.done
-		t.stopTook = time.Since(started)
-		fmt.Fprintf(f.config.Out, "%s stopped after %v\n", r.host.Name(), t.stopTook.Round(time.Millisecond))
+		t.stopDuration = time.Since(started)
+		fmt.Fprintf(f.config.Out, "%s stopped after %v\n", r.host.Name(), t.stopDuration.Round(time.Millisecond))
 		f.hosts = slices.Delete(f.hosts, i, i+1)
 		return err
 	}
 	return nil
 }
 
-func (f *fleet) progress(ctx context.Context, t *tally) {
-	for wait(ctx, time.Second) {
-		fmt.Fprintf(f.config.Out, "  %d requests answered\n", t.answered())
+func (f *fleet) printProgress(ctx context.Context, t *results) {
+	for sleep(ctx, time.Second) {
+		fmt.Fprintf(f.config.Out, "  %d requests answered\n", t.requestCount())
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -296,23 +296,23 @@
 	}
 }
 
-// generate sends one service's requests as a Poisson stream and waits for all answers.
-func (f *fleet) generate(ctx context.Context, load Workload, t *tally) {
+// sendRequests sends one service's requests as a Poisson stream and waits for all answers.
+func (f *fleet) sendRequests(ctx context.Context, load Workload, t *results) {
 	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(load.Service))))
 	var group sync.WaitGroup
 	defer group.Wait()
 	for i := 0; ; i++ {
 		gap := time.Duration(random.ExpFloat64() / (load.Rate * f.config.RateFactor) * float64(time.Second))
-		if !wait(ctx, gap) {
+		if !sleep(ctx, gap) {
 			return
 		}
 		client := f.callers[random.IntN(len(f.callers))]
-		group.Go(func() { f.one(client, load, i, t) })
+		group.Go(func() { f.sendRequest(client, load, i, t) })
 	}
 }
 
-// one sends one request and checks its answer against what the targets did.
-func (f *fleet) one(client *caller.Client, load Workload, i int, t *tally) {
+// sendRequest sends one request and checks its answer against what the targets did.
+func (f *fleet) sendRequest(client *caller.Client, load Workload, i int, t *results) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	r := caller.Request{Service: load.Service, Method: load.Method, Path: fmt.Sprintf("%s%d", load.Path, i), AtMostOnce: load.AtMostOnce}
@@ -321,5 +321,5 @@
 	}
 	started := time.Now()
 	answer, err := client.Do(ctx, r)
-	t.add(load, answer, err, time.Since(started), f.verdict(load, r, answer, err))
+	t.record(load, answer, err, time.Since(started), f.classify(load, r, answer, err))
 }
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -16,92 +16,92 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// verdict is what became of one request.
-type verdict int
+// outcome is what became of one request.
+type outcome int
 
 const (
-	answeredWhole verdict = iota
-	refusedNotRun
+	completed outcome = iota
+	notRun
 	lost
-	doubled
-	cut
+	duplicated
+	truncated
 )
 
-// verdict compares an answer with what the targets did.
-func (f *fleet) verdict(load Workload, r caller.Request, a caller.Response, err error) verdict {
+// classify compares an answer with what the targets did.
+func (f *fleet) classify(load Workload, r caller.Request, a caller.Response, err error) outcome {
 	runs := 0
 	for _, key := range a.IdempotencyKeys {
-		runs += f.ledger.Runs(key)
+		runs += f.runCounter.Runs(key)
 	}
 	switch {
 	case load.AtMostOnce && runs > 1:
-		return doubled
+		return duplicated
 	case err != nil:
 		return lost
 	case a.Status == http.StatusOK && !bytes.Equal(a.Body, ExpectedResponse(r.Path, r.Body, load.ResponseBytes)):
-		return cut
+		return truncated
 	case a.Status == http.StatusOK && load.AtMostOnce && runs != 1:
 		return lost
 	case a.Status == http.StatusOK:
-		return answeredWhole
+		return completed
 	case a.Outcome == claim.NotRun && runs == 0:
-		return refusedNotRun
+		return notRun
 	}
 	return lost
 }
 
-// tally is what a run counted.
-type tally struct {
-	mu            sync.Mutex
-	classes       map[string]*classTally
-	inForce       time.Duration
-	afterWithdraw int64
-	stopTook      time.Duration
+// results is what a run counted.
+type results struct {
+	mu                      sync.Mutex
+	classes                 map[string]*classResults
+	noteDelay               time.Duration
+	requestsAfterWithdrawal int64
+	stopDuration            time.Duration
 }
 
-type classTally struct {
-	count    [cut + 1]int64
-	resends  int64
-	latency  *hdrhistogram.Histogram
-	addition *hdrhistogram.Histogram
+type classResults struct {
+	counts       [truncated + 1]int64
+	retries      int64
+	latency      *hdrhistogram.Histogram
+	addedLatency *hdrhistogram.Histogram
 }
 
-func newTally() *tally { return &tally{classes: map[string]*classTally{}} }
+func newResults() *results { return &results{classes: map[string]*classResults{}} }
 
-func (t *tally) add(load Workload, a caller.Response, err error, took time.Duration, v verdict) {
+func (t *results) record(load Workload, a caller.Response, err error, took time.Duration, v outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.classes[load.Class]
 	if c == nil {
-		c = &classTally{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), addition: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		c = &classResults{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 		t.classes[load.Class] = c
 	}
-	c.count[v]++
-	c.resends += int64(max(0, a.Attempts-1))
+	c.counts[v]++
+	c.retries += int64(max(0, a.Attempts-1))
 	if err != nil {
 		return
 	}
 	// Latencies above a minute end the run before they are recorded.
 	_ = c.latency.RecordValue(took.Microseconds())
 	if run, err := strconv.ParseInt(a.Header.Get(runHeader), 10, 64); err == nil {
-		_ = c.addition.RecordValue(max(1, took.Microseconds()-run))
+		_ = c.addedLatency.RecordValue(max(1, took.Microseconds()-run))
 	}
 }
 
-func (t *tally) answered() int64 {
+func (t *results) requestCount() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var sum int64
 	for _, c := range t.classes {
-		for _, n := range c.count {
+		for _, n := range c.counts {
 			sum += n
 		}
 	}
 	return sum
 }
 
-// judge prints the table and returns ErrBroken if a promise was broken.
-func (f *fleet) judge(t *tally) error {
+// printResults prints the table and returns ErrBroken if a promise was broken.
+func (f *fleet) printResults(t *results) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var requests, bad int64
@@ -110,14 +110,14 @@
 	for _, name := range sortedNames(t.classes) {
 		c := t.classes[name]
 		var sum int64
-		for _, n := range c.count {
+		for _, n := range c.counts {
 			sum += n
 		}
 		requests += sum
-		bad += c.count[lost] + c.count[doubled] + c.count[cut]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, sum, c.count[answeredWhole], c.count[refusedNotRun],
-			c.count[lost], c.count[doubled], c.count[cut], c.resends, quantile(c.latency, 50), quantile(c.latency, 99), quantile(c.latency, 99.9),
-			quantile(c.addition, 50), quantile(c.addition, 99))
+		bad += c.counts[lost] + c.counts[duplicated] + c.counts[truncated]
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, sum, c.counts[completed], c.counts[notRun],
+			c.counts[lost], c.counts[duplicated], c.counts[truncated], c.retries, formatQuantile(c.latency, 50), formatQuantile(c.latency, 99), formatQuantile(c.latency, 99.9),
+			formatQuantile(c.addedLatency, 50), formatQuantile(c.addedLatency, 99))
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -127,21 +127,21 @@
 		probes += target.Probes.Load()
 	}
 	fmt.Fprintf(f.config.Out, "probes per request %.4f; keys run twice %d; requests to the withdrawn target after note 2 was in force %d\n",
-		float64(probes)/float64(max(1, requests)), f.ledger.DuplicateRuns(), t.afterWithdraw)
+		float64(probes)/float64(max(1, requests)), f.runCounter.DuplicateRuns(), t.requestsAfterWithdrawal)
 	for _, r := range f.hosts {
 		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.Number())
 		if r.host.Number() != 2 {
 			bad++
 		}
 	}
-	if bad > 0 || f.ledger.DuplicateRuns() > 0 || t.afterWithdraw > 0 {
+	if bad > 0 || f.runCounter.DuplicateRuns() > 0 || t.requestsAfterWithdrawal > 0 {
 		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or a host lags; see the table", bad)
 	}
 	fmt.Fprintln(f.config.Out, "0 lost, 0 doubled, 0 cut")
 	return nil
 }
 
-func sortedNames(classes map[string]*classTally) []string {
+func sortedNames(classes map[string]*classResults) []string {
 	var names []string
 	for name := range classes {
 		names = append(names, name)
@@ -150,6 +150,6 @@
 	return names
 }
 
-func quantile(h *hdrhistogram.Histogram, q float64) string {
+func formatQuantile(h *hdrhistogram.Histogram, q float64) string {
 	return strconv.FormatFloat(float64(h.ValueAtQuantile(q))/1000, 'f', 2, 64)
 }
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -110,7 +110,7 @@
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/Report" {
 		t.Probes.Add(1)
-		t.report(w)
+		t.writeLoadHeaders(w)
 		return
 	}
 	t.Requests.Add(1)
@@ -125,10 +125,10 @@
 	if key := r.Header.Get("Idempotency-Key"); key != "" && t.config.RunCounter != nil {
 		t.config.RunCounter.add(key)
 	}
-	time.Sleep(t.work())
+	time.Sleep(t.drawServiceTime())
 	<-t.slots
 	w.Header().Set(runHeader, strconv.FormatInt(time.Since(arrived).Microseconds(), 10))
-	t.report(w)
+	t.writeLoadHeaders(w)
 	answer := ExpectedResponse(r.URL.Path, body, t.config.ResponseBytes)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.Itoa(len(answer))))
@@ -136,14 +136,14 @@
 	_, _ = w.Write(answer)
 }
 
-func (t *Target) report(w http.ResponseWriter) {
+func (t *Target) writeLoadHeaders(w http.ResponseWriter) {
 	w.Header().Set(steering.HeaderLoad, strconv.FormatInt(t.inFlight.Load(), 10))
 	if t.draining.Load() {
 		w.Header().Set(steering.HeaderDraining, "true")
 	}
 }
 
-func (t *Target) work() time.Duration {
+func (t *Target) drawServiceTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	factor := math.Exp(t.config.ServiceTimeSigma*t.random.NormFloat64() - t.config.ServiceTimeSigma*t.config.ServiceTimeSigma/2)
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -25,14 +25,14 @@
 	before := make([]entry.ProcessStatus, len(hosts))
 	for i, host := range hosts {
 		var err error
-		if before[i], err = process(ctx, host); err != nil {
+		if before[i], err = processStatus(ctx, host); err != nil {
 			return nil, err
 		}
 	}
-	wait(ctx, length)
+	sleep(ctx, length)
 	var list []IdleUsage
 	for i, host := range hosts {
-		after, err := process(ctx, host)
+		after, err := processStatus(ctx, host)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -52,21 +52,21 @@
 	HeapBytes             uint64
 }
 
-// connections is how many connections a load keeps open at the most.
-const connections = 256
+// maxConnections is how many connections a load keeps open at the most.
+const maxConnections = 256
 
 // Run holds one rate, first direct and then through the host; errors are ErrNoStatus.
 func Run(ctx context.Context, c Config, rate int) (Step, error) {
-	transport := &http.Transport{MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxConnections, MaxConnsPerHost: maxConnections, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	step := Step{Rate: rate}
-	step.Direct = load(ctx, transport, c, c.Backend, rate)
-	before, err := process(ctx, c.EntryHost)
+	step.Direct = sendLoad(ctx, transport, c, c.Backend, rate)
+	before, err := processStatus(ctx, c.EntryHost)
 	if err != nil {
 		return step, err
 	}
-	step.Through = load(ctx, transport, c, c.EntryHost, rate)
-	after, err := process(ctx, c.EntryHost)
+	step.Through = sendLoad(ctx, transport, c, c.EntryHost, rate)
+	after, err := processStatus(ctx, c.EntryHost)
 	if err != nil {
 		return step, err
 	}
@@ -77,8 +77,8 @@
 	return step, nil
 }
 
-// process reads what a host's process has used.
-func process(ctx context.Context, host string) (entry.ProcessStatus, error) {
+// processStatus reads what a host's process has used.
+func processStatus(ctx context.Context, host string) (entry.ProcessStatus, error) {
 	client, closeClient := operator.New(operator.Config{Hosts: []string{host}, Timeout: 5 * time.Second})
 	defer closeClient()
 	status := client.Status(ctx)[0]
@@ -88,8 +88,8 @@
 	return status.Status.Process, nil
 }
 
-// load sends a Poisson stream; each latency counts from the instant at which the request was due.
-func load(ctx context.Context, transport *http.Transport, c Config, address string, rate int) Latency {
+// sendLoad sends a Poisson stream; each latency counts from the instant at which the request was due.
+func sendLoad(ctx context.Context, transport *http.Transport, c Config, address string, rate int) Latency {
 	random := rand.New(rand.NewPCG(c.Seed, uint64(rate)))
 	histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
@@ -97,12 +97,12 @@
 	var group sync.WaitGroup
 	start := time.Now()
 	for due := time.Duration(0); due < c.Duration; due += time.Duration(random.ExpFloat64() / float64(rate) * float64(time.Second)) {
-		waitExactly(ctx, start.Add(due))
+		sleepUntil(ctx, start.Add(due))
 		if ctx.Err() != nil {
 			break
 		}
 		group.Go(func() {
-			ok := get(ctx, transport, "http://"+address+c.Path)
+			ok := sendRequest(ctx, transport, "http://"+address+c.Path)
 			took := time.Since(start.Add(due))
 			mu.Lock()
 			defer mu.Unlock()
@@ -120,19 +120,19 @@
 	}
 }
 
-// spinTime is the last part of a wait that is spent awake, since timers are late by up to a millisecond.
-const spinTime = 1500 * time.Microsecond
+// spinDuration is the last part of a wait that is spent awake, since timers are late by up to a millisecond.
+const spinDuration = 1500 * time.Microsecond
 
-// waitExactly waits for an instant more exactly than a timer does.
-func waitExactly(ctx context.Context, until time.Time) {
-	wait(ctx, time.Until(until)-spinTime)
+// sleepUntil waits for an instant more exactly than a timer does.
+func sleepUntil(ctx context.Context, until time.Time) {
+	sleep(ctx, time.Until(until)-spinDuration)
 	for time.Now().Before(until) {
 		runtime.Gosched()
 	}
 }
 
-// wait sleeps unless the time has come already.
-func wait(ctx context.Context, d time.Duration) {
+// sleep sleeps unless the time has come already.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-func get(ctx context.Context, transport *http.Transport, url string) bool {
+func sendRequest(ctx context.Context, transport *http.Transport, url string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -27,8 +27,8 @@
 
 // Strengths of the faults.
 const (
-	slowFactor = 5.0
-	muteShare  = 0.5
+	slowFaultFactor    = 5.0
+	muteFaultDropShare = 0.5
 )
 
 // Workload is a service with its callers and its troubles.
@@ -65,8 +65,8 @@
 	Seed                  uint64
 }
 
-// warmUp is how long requests are not counted, so that policies know something.
-const warmUp = 2 * time.Second
+// warmUpDuration is how long requests are not counted, so that policies know something.
+const warmUpDuration = 2 * time.Second
 
 // Result is how a policy did.
 type Result struct {
@@ -89,51 +89,51 @@
 	LateRefusalShare float64
 }
 
-// lateWorth is what an answer after the goal is worth.
-const lateWorth = 0.1
+// lateUtility is what an answer after the goal is worth.
+const lateUtility = 0.1
 
 // simulation is one run of the model.
 type simulation struct {
 	clock
-	load      Workload
-	random    *rand.Rand
-	servers   []*server
-	result    Result
-	latencies *hdrhistogram.Histogram
-	last      uint64
-	repeats   int
-	probes    int
-	held      int
+	workload      Workload
+	random        *rand.Rand
+	servers       []*server
+	result        Result
+	latencies     *hdrhistogram.Histogram
+	lastID        uint64
+	extraAttempts int
+	probes        int
+	lateRefusals  int
 }
 
 // Simulate runs a policy against a load.
 func Simulate(p Policy, l Workload) Result {
-	s := &simulation{load: l, random: rand.New(rand.NewPCG(l.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	s := &simulation{workload: l, random: rand.New(rand.NewPCG(l.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	s.servers = newServers(s)
 	s.result.Policy, s.result.Workload = p.Name(), l.Name
-	player := start(s, p)
-	s.faults()
-	s.arrive(player)
-	s.run(s.length())
-	return s.total()
+	player := newBalancer(s, p)
+	s.scheduleFaults()
+	s.scheduleArrivals(player)
+	s.runUntil(s.totalDuration())
+	return s.summarize()
 }
 
-// faults schedules the troubles of some servers.
-func (s *simulation) faults() {
-	struck := int(s.load.FaultShare * float64(len(s.servers)))
+// scheduleFaults schedules the troubles of some servers.
+func (s *simulation) scheduleFaults() {
+	struck := int(s.workload.FaultShare * float64(len(s.servers)))
 	for _, server := range s.servers[:struck] {
-		s.after(s.load.FaultFrom, func() { server.fault = s.load.Fault })
-		s.after(s.load.FaultUntil, func() { server.fault = NoFault })
+		s.schedule(s.workload.FaultFrom, func() { server.fault = s.workload.Fault })
+		s.schedule(s.workload.FaultUntil, func() { server.fault = NoFault })
 	}
 }
 
-// rate returns the requests a second at this moment.
-func (s *simulation) rate() float64 {
-	use := s.load.OfferedLoad
-	if s.now >= s.load.BurstFrom && s.now < s.load.BurstUntil {
-		use = s.load.BurstOfferedLoad
+// arrivalRate returns the requests a second at this moment.
+func (s *simulation) arrivalRate() float64 {
+	use := s.workload.OfferedLoad
+	if s.now >= s.workload.BurstFrom && s.now < s.workload.BurstUntil {
+		use = s.workload.BurstOfferedLoad
 	}
-	return use * Capacity(s.load)
+	return use * Capacity(s.workload)
 }
 
 // Capacity returns how many requests a second the quiet servers carry on average, all slots but the crowded ones in use.
@@ -147,29 +147,29 @@
 	return float64(l.Targets) * (1 - l.NoisyShare) * float64(max(1, free)) / l.ServiceTime.Seconds()
 }
 
-// arrive lets callers come until the load ends.
-func (s *simulation) arrive(p player) {
-	if s.now >= s.load.Duration {
+// scheduleArrivals lets callers come until the load ends.
+func (s *simulation) scheduleArrivals(p balancer) {
+	if s.now >= s.workload.Duration {
 		return
 	}
-	s.after(time.Duration(s.random.ExpFloat64()/s.rate()*float64(time.Second)), func() {
-		s.last++
-		j := &job{id: s.last, born: s.now, goal: s.now + s.load.LatencyGoal, deadline: s.now + s.load.CallerTimeout, work: workOf(s.random, s.load)}
-		if s.now >= warmUp {
+	s.schedule(time.Duration(s.random.ExpFloat64()/s.arrivalRate()*float64(time.Second)), func() {
+		s.lastID++
+		j := &job{id: s.lastID, arrivedAt: s.now, goal: s.now + s.workload.LatencyGoal, deadline: s.now + s.workload.CallerTimeout, serviceTime: drawServiceTime(s.random, s.workload)}
+		if s.now >= warmUpDuration {
 			s.result.Requests++
 		}
-		p.arrived(j)
-		s.arrive(p)
+		p.submit(j)
+		s.scheduleArrivals(p)
 	})
 }
 
-// answered counts an answer that has reached the caller.
-func (s *simulation) answered(j *job) {
-	if j.ended {
+// recordResponse counts an answer that has reached the caller.
+func (s *simulation) recordResponse(j *job) {
+	if j.finished {
 		return
 	}
-	j.ended = true
-	if j.born < warmUp || s.now > j.deadline {
+	j.finished = true
+	if j.arrivedAt < warmUpDuration || s.now > j.deadline {
 		return
 	}
 	if s.now <= j.goal {
@@ -178,35 +178,37 @@
 		s.result.Late++
 	}
 	// The histogram holds a minute; callers wait for seconds.
-	_ = s.latencies.RecordValue(int64((s.now - j.born) / time.Microsecond))
+	_ = s.latencies.RecordValue(int64((s.now - j.arrivedAt) / time.Microsecond))
 }
 
-// refused counts a request that was turned away.
-func (s *simulation) refused(j *job) {
-	if !j.ended && j.born >= warmUp {
+// recordRefusal counts a request that was turned away.
+func (s *simulation) recordRefusal(j *job) {
+	if !j.finished && j.arrivedAt >= warmUpDuration {
 		s.result.Refused++
-		if 2*(s.now-j.born) > s.load.CallerTimeout {
-			s.held++
+		if 2*(s.now-j.arrivedAt) > s.workload.CallerTimeout {
+			s.lateRefusals++
 		}
 	}
-	j.ended = true
+	j.finished = true
 }
 
-// length is how long a run takes: until the last caller has its answer or gives up.
-func (s *simulation) length() time.Duration { return s.load.Duration + s.load.CallerTimeout }
+// totalDuration is how long a run takes: until the last caller has its answer or gives up.
+func (s *simulation) totalDuration() time.Duration {
+	return s.workload.Duration + s.workload.CallerTimeout
+}
 
-func (s *simulation) total() Result {
+func (s *simulation) summarize() Result {
 	r := s.result
 	r.Lost = r.Requests - r.InGoal - r.Late - r.Refused
 	if r.Requests > 0 {
-		r.Utility = (float64(r.InGoal) + lateWorth*float64(r.Late)) / float64(r.Requests)
-		r.ExtraAttempts = float64(s.repeats) / float64(r.Requests)
+		r.Utility = (float64(r.InGoal) + lateUtility*float64(r.Late)) / float64(r.Requests)
+		r.ExtraAttempts = float64(s.extraAttempts) / float64(r.Requests)
 	}
 	if r.Refused > 0 {
-		r.LateRefusalShare = float64(s.held) / float64(r.Refused)
+		r.LateRefusalShare = float64(s.lateRefusals) / float64(r.Refused)
 	}
 	r.P50 = time.Duration(s.latencies.ValueAtQuantile(50)) * time.Microsecond
 	r.P99 = time.Duration(s.latencies.ValueAtQuantile(99)) * time.Microsecond
-	r.Probes = float64(s.probes) / float64(s.load.Targets) / s.length().Seconds()
+	r.Probes = float64(s.probes) / float64(s.workload.Targets) / s.totalDuration().Seconds()
 	return r
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// find returns a load by its name.
-func find(t *testing.T, name string) Workload {
+// workloadNamed returns a load by its name.
+func workloadNamed(t *testing.T, name string) Workload {
 	t.Helper()
 	for _, l := range Workloads() {
 		if l.Name == name {
@@ -20,13 +20,13 @@
 	return Workload{}
 }
 
-// inGoal is the part of all requests that a policy answered within their goal.
-func inGoal(r Result) float64 { return float64(r.InGoal) / float64(max(1, r.Requests)) }
+// inGoalShare is the part of all requests that a policy answered within their goal.
+func inGoalShare(r Result) float64 { return float64(r.InGoal) / float64(max(1, r.Requests)) }
 
 // TestRunsRepeat plays a load twice: the same seed must give the same result.
 func TestRunsRepeat(t *testing.T) {
 	is := is.New(t)
-	l := find(t, "stock-burst")
+	l := workloadNamed(t, "stock-burst")
 	l.Duration = 12 * time.Second
 	is.Equal(Simulate(Home{Hedges: true}, l), Simulate(Home{Hedges: true}, l))
 }
@@ -37,13 +37,13 @@
 	for _, name := range []string{"stock-twice", "stock-fivefold", "lookup-twice", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := find(t, name)
+			l := workloadNamed(t, name)
 			l.Duration = 6 * time.Second
 			ideal, home := Simulate(Ideal{}, l), Simulate(Home{Hedges: true}, l)
 			t.Logf("ideal %+v", ideal)
 			t.Logf("home %+v", home)
-			is.True(inGoal(home) >= 0.95*inGoal(ideal))
-			is.True(home.ExtraAttempts <= modelRatio+modelSlack/float64(home.Requests)) // within the retry budget
+			is.True(inGoalShare(home) >= 0.95*inGoalShare(ideal))
+			is.True(home.ExtraAttempts <= retryBudgetRatio+retryBudgetSlack/float64(home.Requests)) // within the retry budget
 		})
 	}
 }
@@ -69,12 +69,12 @@
 }
 
 // TestHomeNearIdealLookup and TestHomeNearIdealStock hold p99 at 85 in 100 of what the servers carry against the ideal queue's.
-func TestHomeNearIdealLookup(t *testing.T) { nearIdeal(t, "lookup-busy") }
-func TestHomeNearIdealStock(t *testing.T)  { nearIdeal(t, "stock-busy") }
+func TestHomeNearIdealLookup(t *testing.T) { testNearIdeal(t, "lookup-busy") }
+func TestHomeNearIdealStock(t *testing.T)  { testNearIdeal(t, "stock-busy") }
 
-func nearIdeal(t *testing.T, name string) {
+func testNearIdeal(t *testing.T, name string) {
 	is := is.New(t)
-	l := find(t, name)
+	l := workloadNamed(t, name)
 	ideal, home := Simulate(Ideal{}, l), Simulate(Home{Hedges: true}, l)
 	t.Logf("ideal p99 %v, home p99 %v, ratio %.2f", ideal.P99, home.P99, float64(home.P99)/float64(ideal.P99))
 	is.True(float64(home.P99) <= 1.15*float64(ideal.P99))
@@ -99,7 +99,7 @@
 	for _, name := range []string{"stock-burst", "lookup-burst", "stock-twice", "lookup-twice", "stock-fivefold", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := find(t, name)
+			l := workloadNamed(t, name)
 			if l.OfferedLoad > 1 {
 				l.Duration = 6 * time.Second
 			}
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -58,64 +58,64 @@
 func (LeastInFlight) policy() {}
 func (AtRandom) policy()      {}
 
-// player carries out a policy.
-type player interface{ arrived(j *job) }
+// balancer carries out a policy.
+type balancer interface{ submit(j *job) }
 
-func start(s *simulation, p Policy) player {
+func newBalancer(s *simulation, p Policy) balancer {
 	switch p := p.(type) {
 	case Ideal:
-		return &idealPlayer{sim: s}
+		return &idealBalancer{sim: s}
 	case Home:
-		return newHomePlayer(s, p)
+		return newHomeBalancer(s, p)
 	case LeastInFlight:
-		return newDirectPlayer(s, p.Hosts)
+		return newDirectBalancer(s, p.Hosts)
 	}
-	return newDirectPlayer(s, 0)
+	return newDirectBalancer(s, 0)
 }
 
-// idealPlayer keeps one queue and starts requests where they end soonest.
-type idealPlayer struct {
-	sim   *simulation
-	queue []*job
-	armed bool
+// idealBalancer keeps one queue and starts requests where they end soonest.
+type idealBalancer struct {
+	sim      *simulation
+	queue    []*job
+	timerSet bool
 }
 
-func (p *idealPlayer) arrived(j *job) {
+func (p *idealBalancer) submit(j *job) {
 	p.queue = append(p.queue, j)
 	p.dispatch()
 }
 
 // dispatch starts what can meet its goal; the rest waits until half of the slots are free.
-func (p *idealPlayer) dispatch() {
+func (p *idealBalancer) dispatch() {
 	now := p.sim.now
 	waiting := p.queue[:0]
 	for _, j := range p.queue {
 		switch {
 		case now > j.deadline:
-			p.sim.refused(j)
-		case !p.begin(j):
+			p.sim.recordRefusal(j)
+		case !p.tryStart(j):
 			waiting = append(waiting, j)
 		}
 	}
 	p.queue = waiting
-	if len(p.queue) > 0 && !p.armed {
-		p.armed = true
-		p.sim.after(time.Millisecond, func() {
-			p.armed = false
+	if len(p.queue) > 0 && !p.timerSet {
+		p.timerSet = true
+		p.sim.schedule(time.Millisecond, func() {
+			p.timerSet = false
 			p.dispatch()
 		})
 	}
 }
 
-func (p *idealPlayer) begin(j *job) bool {
+func (p *idealBalancer) tryStart(j *job) bool {
 	best, took, free, slots := (*server)(nil), 0.0, 0, 0
 	for _, s := range p.sim.servers {
-		slots += p.sim.load.Slots
-		free += p.sim.load.Slots - len(s.running)
-		if s.fault == Mute || len(s.running) >= p.sim.load.Slots {
+		slots += p.sim.workload.Slots
+		free += p.sim.workload.Slots - len(s.running)
+		if s.fault == Mute || len(s.running) >= p.sim.workload.Slots {
 			continue
 		}
-		if t := s.expected(); best == nil || t < took {
+		if t := s.expectedServiceTime(); best == nil || t < took {
 			best, took = s, t
 		}
 	}
@@ -123,67 +123,67 @@
 		return false
 	}
 	inGoal := p.sim.now+time.Duration(took*float64(time.Second)) <= j.goal
-	hopeless := p.sim.now+p.sim.load.ServiceTime > j.goal
+	hopeless := p.sim.now+p.sim.workload.ServiceTime > j.goal
 	if !inGoal && (!hopeless || 2*free < slots) {
 		return false
 	}
-	best.accept(&run{job: j, done: func(bool) {
-		p.sim.answered(j)
-		p.sim.after(0, p.dispatch)
+	best.accept(&run{job: j, onResponse: func(bool) {
+		p.sim.recordResponse(j)
+		p.sim.schedule(0, p.dispatch)
 	}})
 	return true
 }
 
-// expected returns what a request of mean work would take if it started now, in seconds.
-func (s *server) expected() float64 {
-	t := s.sim.load.ServiceTime.Seconds() * s.pace
-	if float64(len(s.running)+1) > s.sim.load.NearlyFullShare*float64(s.sim.load.Slots) {
-		t *= s.sim.load.NearlyFullSlowdown
+// expectedServiceTime returns what a request of mean work would take if it started now, in seconds.
+func (s *server) expectedServiceTime() float64 {
+	t := s.sim.workload.ServiceTime.Seconds() * s.pace
+	if float64(len(s.running)+1) > s.sim.workload.NearlyFullShare*float64(s.sim.workload.Slots) {
+		t *= s.sim.workload.NearlyFullSlowdown
 	}
 	if s.fault == Slow {
-		t *= slowFactor
+		t *= slowFaultFactor
 	}
 	return t
 }
 
-// directPlayer sends requests on at once, by own counts of each host, or at random without any.
-type directPlayer struct {
+// directBalancer sends requests on at once, by own counts of each host, or at random without any.
+type directBalancer struct {
 	sim *simulation
-	// counts holds the requests in flight, by host and server.
-	counts [][]int
+	// inFlight holds the requests in flight, by host and server.
+	inFlight [][]int
 }
 
-func newDirectPlayer(s *simulation, hosts int) *directPlayer {
-	p := &directPlayer{sim: s}
+func newDirectBalancer(s *simulation, hosts int) *directBalancer {
+	p := &directBalancer{sim: s}
 	for range hosts {
-		p.counts = append(p.counts, make([]int, len(s.servers)))
+		p.inFlight = append(p.inFlight, make([]int, len(s.servers)))
 	}
 	return p
 }
 
-func (p *directPlayer) arrived(j *job) {
-	index, done := p.choose()
+func (p *directBalancer) submit(j *job) {
+	index, done := p.chooseServer()
 	server := p.sim.servers[index]
-	p.sim.after(p.sim.load.NetworkDelay, func() {
-		taken := server.accept(&run{job: j, done: func(bool) {
-			p.sim.after(p.sim.load.NetworkDelay, func() {
+	p.sim.schedule(p.sim.workload.NetworkDelay, func() {
+		taken := server.accept(&run{job: j, onResponse: func(bool) {
+			p.sim.schedule(p.sim.workload.NetworkDelay, func() {
 				done()
-				p.sim.answered(j)
+				p.sim.recordResponse(j)
 			})
 		}})
 		if !taken {
 			done()
-			p.sim.refused(j)
+			p.sim.recordRefusal(j)
 		}
 	})
 }
 
-func (p *directPlayer) choose() (int, func()) {
+func (p *directBalancer) chooseServer() (int, func()) {
 	first := p.sim.random.IntN(len(p.sim.servers))
-	if len(p.counts) == 0 {
+	if len(p.inFlight) == 0 {
 		return first, func() {}
 	}
-	counts := p.counts[p.sim.random.IntN(len(p.counts))]
+	counts := p.inFlight[p.sim.random.IntN(len(p.inFlight))]
 	best := first
 	for i := range counts {
 		if n := (first + i) % len(counts); counts[n] < counts[best] {
@@ -196,32 +196,32 @@
 
 // Retry budget of the model's service.
 const (
-	modelRatio  = 0.18
-	modelSlack  = 22
-	modelWindow = 10 * time.Second
-	// modelTick is how often the home's timers run.
-	modelTick = 10 * time.Millisecond
+	retryBudgetRatio  = 0.18
+	retryBudgetSlack  = 22
+	retryBudgetWindow = 10 * time.Second
+	// homeTickInterval is how often the home's timers run.
+	homeTickInterval = 10 * time.Millisecond
 )
 
-// homePlayer drives a placement.Home over simulated travel.
-type homePlayer struct {
+// homeBalancer drives a placement.Home over simulated travel.
+type homeBalancer struct {
 	sim  *simulation
 	home *placement.Home
 	jobs map[uint64]*job
 	runs map[uint64][]*run
 }
 
-func newHomePlayer(s *simulation, p Home) *homePlayer {
-	h := &homePlayer{sim: s, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
-	budget := placement.Budget{Ratio: modelRatio, Slack: modelSlack, Window: modelWindow}
+func newHomeBalancer(s *simulation, p Home) *homeBalancer {
+	h := &homeBalancer{sim: s, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
+	budget := placement.Budget{Ratio: retryBudgetRatio, Slack: retryBudgetSlack, Window: retryBudgetWindow}
 	if !p.Hedges {
-		budget = placement.Budget{Window: modelWindow}
+		budget = placement.Budget{Window: retryBudgetWindow}
 	}
-	h.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(s.load.Seed, 9)), Budget: budget, Notify: h.notify})
+	h.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(s.workload.Seed, 9)), Budget: budget, Notify: h.onVerdict})
 	h.home.SetPrimary(true)
 	var targets []placement.Target
 	for _, t := range s.servers {
-		targets = append(targets, placement.Target{Name: t.name, Address: t.name, Slots: s.load.Slots})
+		targets = append(targets, placement.Target{Name: t.name, Address: t.name, Slots: s.workload.Slots})
 	}
 	slices.SortFunc(targets, func(a, b placement.Target) int { return cmp.Compare(a.Name, b.Name) })
 	h.home.SetTargets(0, targets)
@@ -229,28 +229,28 @@
 	return h
 }
 
-func (h *homePlayer) tick() {
+func (h *homeBalancer) tick() {
 	h.home.Tick(h.sim.now)
-	h.probe()
-	h.sim.after(modelTick, h.tick)
+	h.sendProbes()
+	h.sim.schedule(homeTickInterval, h.tick)
 }
 
-// probe sends the probes that are due.
-func (h *homePlayer) probe() {
+// sendProbes sends the probes that are due.
+func (h *homeBalancer) sendProbes() {
 	for _, p := range h.home.Probes(h.sim.now) {
-		server := h.server(p.Target)
+		server := h.serverByName(p.Target)
 		h.sim.probes++
-		h.sim.after(h.sim.load.NetworkDelay, func() {
-			load := server.report()
-			h.sim.after(h.sim.load.NetworkDelay, func() {
+		h.sim.schedule(h.sim.workload.NetworkDelay, func() {
+			load := server.loadReport()
+			h.sim.schedule(h.sim.workload.NetworkDelay, func() {
 				h.home.Probed(h.sim.now, server.name, placement.Healthy, &load)
-				h.probe()
+				h.sendProbes()
 			})
 		})
 	}
 }
 
-func (h *homePlayer) server(name string) *server {
+func (h *homeBalancer) serverByName(name string) *server {
 	for _, s := range h.sim.servers {
 		if s.name == name {
 			return s
@@ -259,77 +259,77 @@
 	return nil
 }
 
-func (h *homePlayer) arrived(j *job) {
+func (h *homeBalancer) submit(j *job) {
 	h.jobs[j.id] = j
-	h.sim.after(h.sim.load.NetworkDelay, func() { h.ask(j, nil) })
+	h.sim.schedule(h.sim.workload.NetworkDelay, func() { h.requestPlacement(j, nil) })
 }
 
-func (h *homePlayer) ask(j *job, tried []string) {
+func (h *homeBalancer) requestPlacement(j *job, tried []string) {
 	h.home.Ask(h.sim.now, &placement.Request{
-		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: h.sim.load.Repeatable, Tried: tried,
+		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: h.sim.workload.Repeatable, Tried: tried,
 	})
-	h.probe()
+	h.sendProbes()
 }
 
-// notify carries a verdict to the host that asked.
-func (h *homePlayer) notify(r *placement.Request, v placement.Verdict) {
+// onVerdict carries a verdict to the host that asked.
+func (h *homeBalancer) onVerdict(r *placement.Request, v placement.Verdict) {
 	j := h.jobs[r.ID.Number]
 	switch v := v.(type) {
 	case placement.Placed:
-		h.sim.after(2*h.sim.load.NetworkDelay, func() { h.send(j, v.Target) })
+		h.sim.schedule(2*h.sim.workload.NetworkDelay, func() { h.send(j, v.Target) })
 	case placement.Hedge:
-		h.sim.repeats++
-		h.sim.after(2*h.sim.load.NetworkDelay, func() { h.send(j, v.Target) })
+		h.sim.extraAttempts++
+		h.sim.schedule(2*h.sim.workload.NetworkDelay, func() { h.send(j, v.Target) })
 	case placement.Refused:
-		h.sim.after(h.sim.load.NetworkDelay, func() { h.sim.refused(j) })
+		h.sim.schedule(h.sim.workload.NetworkDelay, func() { h.sim.recordRefusal(j) })
 	}
 }
 
 // send offers the request to the server, as the host does.
-func (h *homePlayer) send(j *job, name string) {
-	server := h.server(name)
-	if j.ended {
-		h.tell(j, name, placement.Abandoned, 0, nil)
+func (h *homeBalancer) send(j *job, name string) {
+	server := h.serverByName(name)
+	if j.finished {
+		h.reportRunEnd(j, name, placement.Abandoned, 0, nil)
 		return
 	}
 	sent := h.sim.now
 	r := &run{job: j}
-	r.done = func(bool) {
-		load := server.report()
-		h.sim.after(h.sim.load.NetworkDelay, func() {
-			first := !j.ended
-			h.sim.answered(j)
-			h.tell(j, name, placement.Answered, h.sim.now-sent, &load)
+	r.onResponse = func(bool) {
+		load := server.loadReport()
+		h.sim.schedule(h.sim.workload.NetworkDelay, func() {
+			first := !j.finished
+			h.sim.recordResponse(j)
+			h.reportRunEnd(j, name, placement.Answered, h.sim.now-sent, &load)
 			if first {
 				h.cancelOthers(j, r)
 			}
 		})
 	}
 	if !server.accept(r) {
-		load := server.report()
-		h.tell(j, name, placement.NotRun, 0, &load)
-		h.sim.refused(j)
+		load := server.loadReport()
+		h.reportRunEnd(j, name, placement.NotRun, 0, &load)
+		h.sim.recordRefusal(j)
 		return
 	}
 	h.runs[j.id] = append(h.runs[j.id], r)
 }
 
-// tell reports the end of a run to the home.
-func (h *homePlayer) tell(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.Load) {
-	h.sim.after(h.sim.load.NetworkDelay, func() {
+// reportRunEnd reports the end of a run to the home.
+func (h *homeBalancer) reportRunEnd(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.Load) {
+	h.sim.schedule(h.sim.workload.NetworkDelay, func() {
 		h.home.Done(h.sim.now, placement.Done{ID: placement.ID{Number: j.id}, Target: name, Outcome: outcome, Took: took, Load: load})
-		h.probe()
+		h.sendProbes()
 	})
 }
 
 // cancelOthers closes the connections of runs that came second.
-func (h *homePlayer) cancelOthers(j *job, winner *run) {
+func (h *homeBalancer) cancelOthers(j *job, winner *run) {
 	for _, r := range h.runs[j.id] {
 		if r == winner {
 			continue
 		}
-		h.sim.after(h.sim.load.NetworkDelay, func() { r.server.cancel(r) })
-		h.tell(j, r.server.name, placement.Abandoned, 0, nil)
+		h.sim.schedule(h.sim.workload.NetworkDelay, func() { r.server.cancel(r) })
+		h.reportRunEnd(j, r.server.name, placement.Abandoned, 0, nil)
 	}
 	delete(h.runs, j.id)
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -60,8 +60,8 @@
 	AllowedBytes          float64
 }
 
-// arrange makes a page of a source.
-func arrange(s Source) page {
+// newPage makes a page of a source.
+func newPage(s Source) page {
 	p := page{Source: s}
 	for _, r := range s.Explanation.Records {
 		switch r.Kind {
@@ -112,15 +112,15 @@
 			list = append(list, latency{
 				Host: h.Status.Host, Service: l.Service, Class: l.Class, Count: l.Count,
 				P50: milliseconds(l.P50), P99: milliseconds(l.P99), P999: milliseconds(l.P999), Max: milliseconds(l.Max),
-				Bar50: barWidth * float64(l.P50) / float64(longest), Bar99: barWidth * float64(l.P99) / float64(longest),
+				Bar50: maxBarWidth * float64(l.P50) / float64(longest), Bar99: maxBarWidth * float64(l.P99) / float64(longest),
 			})
 		}
 	}
 	return list
 }
 
-// barWidth is the width of the longest latency bar, in pixels.
-const barWidth = 240
+// maxBarWidth is the width of the longest latency bar, in pixels.
+const maxBarWidth = 240
 
 func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
 
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -11,12 +11,12 @@
 
 // Sizes of a plot, in pixels.
 const (
-	plotWidth  = 720
-	rowHeight  = 16
-	labelWidth = 260
-	axisHeight = 24
-	leastWidth = 1.0
-	axisMarks  = 6
+	plotWidth     = 720
+	rowHeight     = 16
+	labelWidth    = 260
+	axisHeight    = 24
+	minBarWidth   = 1.0
+	axisMarkCount = 6
 )
 
 // plot is a timeline drawn as rows of bars.
@@ -70,26 +70,26 @@
 		}
 		p.Rows = append(p.Rows, r)
 	}
-	p.Marks = marks(s, scale)
+	p.Marks = newMarks(s, scale)
 	return p
 }
 
 // newBar draws one interval in row n; even the shortest one can be seen.
 func newBar(i record.Interval, s record.Stretch, scale float64, n int) bar {
 	return bar{
-		X: labelWidth + i.From.Sub(s.From).Seconds()*scale, Width: max(leastWidth, i.Length().Seconds()*scale),
+		X: labelWidth + i.From.Sub(s.From).Seconds()*scale, Width: max(minBarWidth, i.Length().Seconds()*scale),
 		Y: n*rowHeight + 2, Height: rowHeight - 4, Class: i.State,
-		Title: fmt.Sprintf("%s from %s to %s: %s, note %d", i.State, i.From.Format(clock), i.To.Format(clock), i.Cause, i.Note),
+		Title: fmt.Sprintf("%s from %s to %s: %s, note %d", i.State, i.From.Format(timeOfDayLayout), i.To.Format(timeOfDayLayout), i.Cause, i.Note),
 	}
 }
 
-// clock is how times of day are shown.
-const clock = "15:04:05.000"
+// timeOfDayLayout is how times of day are shown.
+const timeOfDayLayout = "15:04:05.000"
 
-func marks(s record.Stretch, scale float64) []mark {
+func newMarks(s record.Stretch, scale float64) []mark {
 	var list []mark
-	step := s.To.Sub(s.From) / axisMarks
-	for n := range axisMarks {
+	step := s.To.Sub(s.From) / axisMarkCount
+	for n := range axisMarkCount {
 		at := s.From.Add(time.Duration(n) * step)
 		list = append(list, mark{labelWidth + at.Sub(s.From).Seconds()*scale, at.UTC().Format("15:04:05")})
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -38,13 +38,13 @@
 			{Time: start, Host: "entry-1", Kind: record.NoteAdopted, Note: 2, Evidence: record.Evidence{Detail: "<script>alert(1)</script>", Hash: "0123456789abcdef"}},
 		}},
 	}
-	p := arrange(source)
+	p := newPage(source)
 	bars := p.Services[0].Plot.Rows[0].Bars
 	is.Equal(len(bars), 3)
 	is.Equal(bars[1].X, labelWidth+plotWidth*0.4)
 	is.Equal(bars[1].Width, plotWidth*0.2)
 	is.Equal(p.Counts[0].Offered, int64(7)) // summed over hosts
-	is.Equal(p.Latencies[0].Bar99, float64(barWidth))
+	is.Equal(p.Latencies[0].Bar99, float64(maxBarWidth))
 	var b bytes.Buffer
 	is.NoErr(Write(&b, source))
 	is.True(strings.Contains(b.String(), "has note 1 in force; the newest is 2"))
