--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -98,16 +98,16 @@
 // Addresses returns the address answer for a service, kept or fresh; errors are ErrNoAddress.
 func (c *Client) Addresses(ctx context.Context, service string) (address.Answer, error) {
 	c.mu.Lock()
-	k, found := c.answersByService[service]
+	cached, found := c.answersByService[service]
 	c.mu.Unlock()
-	if found && time.Now().Before(k.expiresAt) {
-		return k.Answer, nil
+	if found && time.Now().Before(cached.expiresAt) {
+		return cached.Answer, nil
 	}
-	var last error
-	for _, host := range c.hostsToAsk(k.Answer) {
+	var lastErr error
+	for _, host := range c.hostsToAsk(cached.Answer) {
 		answer, err := c.FetchAddresses(ctx, host, service)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		c.mu.Lock()
@@ -116,9 +116,9 @@
 		return answer, nil
 	}
 	if found {
-		return k.Answer, nil
+		return cached.Answer, nil
 	}
-	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, last)
+	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
 // hostsToAsk returns the hosts of the last answer and then the seeds, from a random place on.
@@ -128,9 +128,9 @@
 		list = append(list, a.Address)
 	}
 	c.mu.Lock()
-	first := c.random.IntN(max(1, len(c.config.Seeds)))
+	offset := c.random.IntN(max(1, len(c.config.Seeds)))
 	c.mu.Unlock()
-	return append(append(list, c.config.Seeds[first:]...), c.config.Seeds[:first]...)
+	return append(append(list, c.config.Seeds[offset:]...), c.config.Seeds[:offset]...)
 }
 
 // FetchAddresses asks one entry host for addresses; errors are ErrNoAddress.
@@ -161,9 +161,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.answersByHost)
-	if k, found := c.answersByService[service]; found {
-		k.expiresAt = time.Time{}
-		c.answersByService[service] = k
+	if cached, found := c.answersByService[service]; found {
+		cached.expiresAt = time.Time{}
+		c.answersByService[service] = cached
 	}
 }
 
@@ -171,77 +171,77 @@
 // A request with Once keeps its key while it may have run, and takes a new one only when it was not run.
 // Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
-	var answer Response
-	var keys []string
+	var response Response
+	var keysUsed []string
 	key := ""
 	var err error
-	for send := 1; send <= maxAttempts; send++ {
-		var target string
-		if target, key, err = c.chooseHost(ctx, r, key, send); err != nil {
-			return answer, err
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
+		var host string
+		if host, key, err = c.chooseHost(ctx, r, key, attempt); err != nil {
+			return response, err
 		}
-		if key != "" && (len(keys) == 0 || keys[len(keys)-1] != key) {
-			keys = append(keys, key)
+		if key != "" && (len(keysUsed) == 0 || keysUsed[len(keysUsed)-1] != key) {
+			keysUsed = append(keysUsed, key)
 		}
-		answer, err = c.send(ctx, r, target, key)
-		answer.IdempotencyKeys, answer.Attempts = keys, send
-		if err == nil && isFinal(r, answer) {
-			return answer, nil
+		response, err = c.send(ctx, r, host, key)
+		response.IdempotencyKeys, response.Attempts = keysUsed, attempt
+		if err == nil && isFinal(r, response) {
+			return response, nil
 		}
-		if err != nil || answer.Status == http.StatusServiceUnavailable {
+		if err != nil || response.Status == http.StatusServiceUnavailable {
 			c.expireAnswers(r.Service)
 		}
-		if err == nil && answer.Outcome == claim.NotRun || send == 1 && errorx.IsOfType(err, ErrConnect) {
+		if err == nil && response.Outcome == claim.NotRun || attempt == 1 && errorx.IsOfType(err, ErrConnect) {
 			key = ""
 		}
-		if !sleep(ctx, retryDelay(answer)) {
+		if !sleep(ctx, retryDelay(response)) {
 			break
 		}
 	}
-	return answer, err
+	return response, err
 }
 
 // isFinal reports whether there is nothing to gain from sending again.
-func isFinal(r Request, a Response) bool {
-	if a.Outcome == "" || a.Outcome == claim.Ran {
+func isFinal(r Request, response Response) bool {
+	if response.Outcome == "" || response.Outcome == claim.Ran {
 		return true
 	}
-	if a.Outcome == claim.NotRun {
-		return a.Status != http.StatusServiceUnavailable && a.Status != http.StatusConflict
+	if response.Outcome == claim.NotRun {
+		return response.Status != http.StatusServiceUnavailable && response.Status != http.StatusConflict
 	}
-	return r.AtMostOnce && a.Header.Get(steering.HeaderReason) == string(claim.ReasonInterrupted)
+	return r.AtMostOnce && response.Header.Get(steering.HeaderReason) == string(claim.ReasonInterrupted)
 }
 
 // chooseHost chooses where to send, and a key for a request that has none yet.
-func (c *Client) chooseHost(ctx context.Context, r Request, key string, send int) (string, string, error) {
+func (c *Client) chooseHost(ctx context.Context, r Request, key string, attempt int) (string, string, error) {
 	answer, err := c.Addresses(ctx, r.Service)
 	if err != nil {
 		return "", "", err
 	}
-	target := answer.Addresses[(send-1)%len(answer.Addresses)].Address
+	host := answer.Addresses[(attempt-1)%len(answer.Addresses)].Address
 	if !r.AtMostOnce || key != "" {
-		return target, key, nil
+		return host, key, nil
 	}
-	return target, fmt.Sprintf("%s.%s", c.grantFrom(ctx, target, r.Service, answer.Grant), c.newKeySuffix()), nil
+	return host, fmt.Sprintf("%s.%s", c.grantFrom(ctx, host, r.Service, answer.Grant), c.newKeySuffix()), nil
 }
 
 // grantFrom returns a grant of the host that a request is sent to, so that no other host has to pass it on; or the given one
 // when that host does not answer. A grant is kept for as long as an address answer.
-func (c *Client) grantFrom(ctx context.Context, target, service, other string) string {
+func (c *Client) grantFrom(ctx context.Context, host, service, fallback string) string {
 	c.mu.Lock()
-	k := c.answersByHost[target]
+	cached := c.answersByHost[host]
 	c.mu.Unlock()
-	if time.Now().Before(k.expiresAt) {
-		return k.Grant
+	if time.Now().Before(cached.expiresAt) {
+		return cached.Grant
 	}
-	own, err := c.FetchAddresses(ctx, target, service)
+	answer, err := c.FetchAddresses(ctx, host, service)
 	if err != nil {
-		return other
+		return fallback
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answersByHost[target] = cachedAnswer{own, time.Now().Add(time.Duration(own.MaxAge) * time.Second)}
-	return own.Grant
+	c.answersByHost[host] = cachedAnswer{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
+	return answer.Grant
 }
 
 func (c *Client) newKeySuffix() string {
@@ -250,8 +250,8 @@
 	return strconv.FormatUint(c.random.Uint64(), 36)
 }
 
-func (c *Client) send(ctx context.Context, r Request, target, key string) (Response, error) {
-	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+target+r.Path, bytes.NewReader(r.Body))
+func (c *Client) send(ctx context.Context, r Request, host, key string) (Response, error) {
+	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+host+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return Response{}, ErrIncompleteResponse.New("%v", err)
 	}
@@ -260,24 +260,24 @@
 		request.Header.Set("Idempotency-Key", key)
 	}
 	response, err := c.transport.RoundTrip(request)
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
-		return Response{}, ErrConnect.New("%s: %v; the next address is tried", target, err)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
+		return Response{}, ErrConnect.New("%s: %v; the next address is tried", host, err)
 	}
 	if err != nil {
-		return Response{}, ErrIncompleteResponse.New("%s: %v", target, err)
+		return Response{}, ErrIncompleteResponse.New("%s: %v", host, err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	answer := Response{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
+	result := Response{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
 	if err != nil {
-		return answer, ErrIncompleteResponse.New("%s cut its answer after %d bytes: %v", target, len(body), err)
+		return result, ErrIncompleteResponse.New("%s cut its answer after %d bytes: %v", host, len(body), err)
 	}
-	return answer, nil
+	return result, nil
 }
 
-func retryDelay(a Response) time.Duration {
-	if n, err := strconv.Atoi(a.Header.Get("Retry-After")); err == nil && n > 0 {
+func retryDelay(r Response) time.Duration {
+	if n, err := strconv.Atoi(r.Header.Get("Retry-After")); err == nil && n > 0 {
 		return time.Duration(n) * time.Second
 	}
 	return defaultRetryDelay
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -76,21 +76,21 @@
 		return err
 	}
 	fmt.Fprintf(c.Out, "%s: %d entry hosts, %d targets, note 1 in force everywhere\n", c.Deployment.Name, len(f.hosts), len(f.targets))
-	tally := newResults()
+	res := newResults()
 	traffic, stopTraffic := context.WithTimeout(ctx, c.Duration)
 	defer stopTraffic()
 	var group sync.WaitGroup
-	for _, load := range c.Deployment.Workloads {
-		group.Go(func() { f.sendRequests(traffic, load, tally) })
+	for _, workload := range c.Deployment.Workloads {
+		group.Go(func() { f.sendRequests(traffic, workload, res) })
 	}
-	events := make(chan error, 1)
-	go func() { events <- f.runEvents(traffic, tally) }()
-	f.printProgress(traffic, tally)
+	eventsDone := make(chan error, 1)
+	go func() { eventsDone <- f.runEvents(traffic, res) }()
+	f.printProgress(traffic, res)
 	group.Wait()
-	if err := <-events; err != nil {
+	if err := <-eventsDone; err != nil {
 		return err
 	}
-	return f.printResults(tally)
+	return f.printResults(res)
 }
 
 func (f *fleet) close() {
@@ -101,8 +101,8 @@
 		<-r.done
 	}
 	slices.Reverse(f.cleanups)
-	for _, closer := range f.cleanups {
-		closer()
+	for _, cleanup := range f.cleanups {
+		cleanup()
 	}
 }
 
@@ -152,16 +152,16 @@
 }
 
 func (f *fleet) startTargets() error {
-	for _, load := range f.config.Deployment.Workloads {
-		for i := range load.Targets {
+	for _, workload := range f.config.Deployment.Workloads {
+		for i := range workload.Targets {
 			t, stop, err := NewTarget(TargetConfig{
-				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: load.ServiceTime, ServiceTimeSigma: serviceTimeSigma,
-				ResponseBytes: load.ResponseBytes, RunCounter: f.runCounter, Seed: f.config.Seed + uint64(len(f.targets)),
+				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: workload.ServiceTime, ServiceTimeSigma: serviceTimeSigma,
+				ResponseBytes: workload.ResponseBytes, RunCounter: f.runCounter, Seed: f.config.Seed + uint64(len(f.targets)),
 			})
 			if err != nil {
 				return err
 			}
-			f.targets[TargetName(load.Service, i)] = t
+			f.targets[TargetName(workload.Service, i)] = t
 			f.cleanups = append(f.cleanups, stop)
 		}
 	}
@@ -213,31 +213,31 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		late := 0
+		lagging := 0
 		for _, r := range f.hosts {
 			if r.host.Number() < number || !r.host.Ready() {
-				late++
+				lagging++
 			}
 		}
-		if late == 0 {
+		if lagging == 0 {
 			return nil
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return ErrCheckFailed.New("note %d is not in force on %d of %d hosts after %v; see the log with --verbose", number, late, len(f.hosts), readyTimeout)
+			return ErrCheckFailed.New("note %d is not in force on %d of %d hosts after %v; see the log with --verbose", number, lagging, len(f.hosts), readyTimeout)
 		}
 	}
 }
 
 // runEvents publishes a second note that withdraws a target and stops an entry host gracefully, under load.
-func (f *fleet) runEvents(ctx context.Context, t *results) error {
+func (f *fleet) runEvents(ctx context.Context, res *results) error {
 	if !sleep(ctx, f.config.Duration*3/10) {
 		return nil
 	}
-	load := f.config.Deployment.Workloads[0]
-	gone := TargetName(load.Service, load.Targets-1)
-	text := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", gone, gone)
+	workload := f.config.Deployment.Workloads[0]
+	withdrawn := TargetName(workload.Service, workload.Targets-1)
+	text := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", withdrawn, withdrawn)
 	n, err := note.Parse("second note", []byte(text))
 	if err != nil {
 		return err
@@ -249,18 +249,18 @@
 	if err := f.awaitNote(ctx, 2); err != nil {
 		return err
 	}
-	t.noteDelay = time.Since(published)
-	before := f.targets[gone].Requests.Load()
-	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", gone, t.noteDelay.Round(time.Millisecond))
+	res.noteDelay = time.Since(published)
+	before := f.targets[withdrawn].Requests.Load()
+	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", withdrawn, res.noteDelay.Round(time.Millisecond))
 	if !sleep(ctx, f.config.Duration*2/10) {
 		return nil
 	}
-	t.requestsAfterWithdrawal = f.targets[gone].Requests.Load() - before
-	return f.stopHost(ctx, t)
+	res.requestsAfterWithdrawal = f.targets[withdrawn].Requests.Load() - before
+	return f.stopHost(ctx, res)
 }
 
 // stopHost stops the first home of the busiest service gracefully.
-func (f *fleet) stopHost(ctx context.Context, t *results) error {
+func (f *fleet) stopHost(ctx context.Context, res *results) error {
 	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
 	if err != nil {
 		return err
@@ -273,17 +273,17 @@
 		started := time.Now()
 		r.stop()
 		err := <-r.done
-		t.stopDuration = time.Since(started)
-		fmt.Fprintf(f.config.Out, "%s stopped after %v\n", r.host.Name(), t.stopDuration.Round(time.Millisecond))
+		res.stopDuration = time.Since(started)
+		fmt.Fprintf(f.config.Out, "%s stopped after %v\n", r.host.Name(), res.stopDuration.Round(time.Millisecond))
 		f.hosts = slices.Delete(f.hosts, i, i+1)
 		return err
 	}
 	return nil
 }
 
-func (f *fleet) printProgress(ctx context.Context, t *results) {
+func (f *fleet) printProgress(ctx context.Context, res *results) {
 	for sleep(ctx, time.Second) {
-		fmt.Fprintf(f.config.Out, "  %d requests answered\n", t.requestCount())
+		fmt.Fprintf(f.config.Out, "  %d requests answered\n", res.requestCount())
 	}
 }
 
@@ -297,29 +297,29 @@
 }
 
 // sendRequests sends one service's requests as a Poisson stream and waits for all answers.
-func (f *fleet) sendRequests(ctx context.Context, load Workload, t *results) {
-	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(load.Service))))
+func (f *fleet) sendRequests(ctx context.Context, workload Workload, res *results) {
+	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(workload.Service))))
 	var group sync.WaitGroup
 	defer group.Wait()
 	for i := 0; ; i++ {
-		gap := time.Duration(random.ExpFloat64() / (load.Rate * f.config.RateFactor) * float64(time.Second))
+		gap := time.Duration(random.ExpFloat64() / (workload.Rate * f.config.RateFactor) * float64(time.Second))
 		if !sleep(ctx, gap) {
 			return
 		}
 		client := f.callers[random.IntN(len(f.callers))]
-		group.Go(func() { f.sendRequest(client, load, i, t) })
+		group.Go(func() { f.sendRequest(client, workload, i, res) })
 	}
 }
 
 // sendRequest sends one request and checks its answer against what the targets did.
-func (f *fleet) sendRequest(client *caller.Client, load Workload, i int, t *results) {
+func (f *fleet) sendRequest(client *caller.Client, workload Workload, i int, res *results) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r := caller.Request{Service: load.Service, Method: load.Method, Path: fmt.Sprintf("%s%d", load.Path, i), AtMostOnce: load.AtMostOnce}
-	if load.AtMostOnce {
-		r.Body = fmt.Appendf(nil, "%s %d", load.Service, i)
+	r := caller.Request{Service: workload.Service, Method: workload.Method, Path: fmt.Sprintf("%s%d", workload.Path, i), AtMostOnce: workload.AtMostOnce}
+	if workload.AtMostOnce {
+		r.Body = fmt.Appendf(nil, "%s %d", workload.Service, i)
 	}
 	started := time.Now()
-	answer, err := client.Do(ctx, r)
-	t.record(load, answer, err, time.Since(started), f.classify(load, r, answer, err))
+	response, err := client.Do(ctx, r)
+	res.record(workload, response, err, time.Since(started), f.classify(workload, r, response, err))
 }
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -56,14 +56,14 @@
 func (d Deployment) FirstNote(addresses func(target string) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[Note]\nFollows = 0\nOperator = demo\nReason = first note of %s\n", d.Name)
-	for _, l := range d.Workloads {
-		fmt.Fprintf(&b, "\n[Service %s]\nReportPath = /Report\n", l.Service)
+	for _, w := range d.Workloads {
+		fmt.Fprintf(&b, "\n[Service %s]\nReportPath = /Report\n", w.Service)
 		fmt.Fprintf(&b, "\n[Rule %s]\nPath = %s\nService = %s\nClass = %s\nWeight = %d\nDeadline = 5s\nNotRunStatuses = 503\n",
-			l.Class, l.Path, l.Service, l.Class, l.Weight)
-		for i := range l.Targets {
-			name := TargetName(l.Service, i)
+			w.Class, w.Path, w.Service, w.Class, w.Weight)
+		for i := range w.Targets {
+			name := TargetName(w.Service, i)
 			fmt.Fprintf(&b, "\n[Target %s]\nService = %s\nAddress = %s\nDomain = %s\nSlots = %d\n",
-				name, l.Service, addresses(name), d.Domains[i%len(d.Domains)], d.Slots)
+				name, w.Service, addresses(name), d.Domains[i%len(d.Domains)], d.Slots)
 		}
 	}
 	return b.String()
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -28,23 +28,23 @@
 )
 
 // classify compares an answer with what the targets did.
-func (f *fleet) classify(load Workload, r caller.Request, a caller.Response, err error) outcome {
+func (f *fleet) classify(workload Workload, r caller.Request, response caller.Response, err error) outcome {
 	runs := 0
-	for _, key := range a.IdempotencyKeys {
+	for _, key := range response.IdempotencyKeys {
 		runs += f.runCounter.Runs(key)
 	}
 	switch {
-	case load.AtMostOnce && runs > 1:
+	case workload.AtMostOnce && runs > 1:
 		return duplicated
 	case err != nil:
 		return lost
-	case a.Status == http.StatusOK && !bytes.Equal(a.Body, ExpectedResponse(r.Path, r.Body, load.ResponseBytes)):
+	case response.Status == http.StatusOK && !bytes.Equal(response.Body, ExpectedResponse(r.Path, r.Body, workload.ResponseBytes)):
 		return truncated
-	case a.Status == http.StatusOK && load.AtMostOnce && runs != 1:
+	case response.Status == http.StatusOK && workload.AtMostOnce && runs != 1:
 		return lost
-	case a.Status == http.StatusOK:
+	case response.Status == http.StatusOK:
 		return completed
-	case a.Outcome == claim.NotRun && runs == 0:
+	case response.Outcome == claim.NotRun && runs == 0:
 		return notRun
 	}
 	return lost
@@ -68,31 +68,31 @@
 
 func newResults() *results { return &results{classes: map[string]*classResults{}} }
 
-func (t *results) record(load Workload, a caller.Response, err error, took time.Duration, v outcome) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := t.classes[load.Class]
+func (r *results) record(workload Workload, response caller.Response, err error, latency time.Duration, o outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c := r.classes[workload.Class]
 	if c == nil {
 		c = &classResults{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-		t.classes[load.Class] = c
+		r.classes[workload.Class] = c
 	}
-	c.counts[v]++
-	c.retries += int64(max(0, a.Attempts-1))
+	c.counts[o]++
+	c.retries += int64(max(0, response.Attempts-1))
 	if err != nil {
 		return
 	}
 	// Latencies above a minute end the run before they are recorded.
-	_ = c.latency.RecordValue(took.Microseconds())
-	if run, err := strconv.ParseInt(a.Header.Get(runHeader), 10, 64); err == nil {
-		_ = c.addedLatency.RecordValue(max(1, took.Microseconds()-run))
+	_ = c.latency.RecordValue(latency.Microseconds())
+	if runTime, err := strconv.ParseInt(response.Header.Get(runHeader), 10, 64); err == nil {
+		_ = c.addedLatency.RecordValue(max(1, latency.Microseconds()-runTime))
 	}
 }
 
-func (t *results) requestCount() int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *results) requestCount() int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var sum int64
-	for _, c := range t.classes {
+	for _, c := range r.classes {
 		for _, n := range c.counts {
 			sum += n
 		}
@@ -101,20 +101,20 @@
 }
 
 // printResults prints the table and returns ErrBroken if a promise was broken.
-func (f *fleet) printResults(t *results) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	var requests, bad int64
+func (f *fleet) printResults(res *results) error {
+	res.mu.Lock()
+	defer res.mu.Unlock()
+	var requests, failures int64
 	table := tabwriter.NewWriter(f.config.Out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "Class\tCount\tAnswered\tNotRun\tLost\tDoubled\tCut\tResent\tP50 ms\tP99 ms\tP99.9 ms\tAdded P50 ms\tAdded P99 ms\t")
-	for _, name := range sortedNames(t.classes) {
-		c := t.classes[name]
+	for _, name := range sortedNames(res.classes) {
+		c := res.classes[name]
 		var sum int64
 		for _, n := range c.counts {
 			sum += n
 		}
 		requests += sum
-		bad += c.counts[lost] + c.counts[duplicated] + c.counts[truncated]
+		failures += c.counts[lost] + c.counts[duplicated] + c.counts[truncated]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, sum, c.counts[completed], c.counts[notRun],
 			c.counts[lost], c.counts[duplicated], c.counts[truncated], c.retries, formatQuantile(c.latency, 50), formatQuantile(c.latency, 99), formatQuantile(c.latency, 99.9),
 			formatQuantile(c.addedLatency, 50), formatQuantile(c.addedLatency, 99))
@@ -127,15 +127,15 @@
 		probes += target.Probes.Load()
 	}
 	fmt.Fprintf(f.config.Out, "probes per request %.4f; keys run twice %d; requests to the withdrawn target after note 2 was in force %d\n",
-		float64(probes)/float64(max(1, requests)), f.runCounter.DuplicateRuns(), t.requestsAfterWithdrawal)
+		float64(probes)/float64(max(1, requests)), f.runCounter.DuplicateRuns(), res.requestsAfterWithdrawal)
 	for _, r := range f.hosts {
 		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.Number())
 		if r.host.Number() != 2 {
-			bad++
+			failures++
 		}
 	}
-	if bad > 0 || f.runCounter.DuplicateRuns() > 0 || t.requestsAfterWithdrawal > 0 {
-		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or a host lags; see the table", bad)
+	if failures > 0 || f.runCounter.DuplicateRuns() > 0 || res.requestsAfterWithdrawal > 0 {
+		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or a host lags; see the table", failures)
 	}
 	fmt.Fprintln(f.config.Out, "0 lost, 0 doubled, 0 cut")
 	return nil
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -28,25 +28,25 @@
 // NewRunCounter returns an empty ledger.
 func NewRunCounter() *RunCounter { return &RunCounter{runs: map[string]int{}} }
 
-func (l *RunCounter) add(key string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[key]++
+func (c *RunCounter) add(key string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runs[key]++
 }
 
 // Runs returns how often the request with a key was run.
-func (l *RunCounter) Runs(key string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[key]
+func (c *RunCounter) Runs(key string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.runs[key]
 }
 
 // DuplicateRuns returns how many keys were run more than once.
-func (l *RunCounter) DuplicateRuns() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *RunCounter) DuplicateRuns() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, runs := range l.runs {
+	for _, runs := range c.runs {
 		if runs > 1 {
 			n++
 		}
@@ -129,11 +129,11 @@
 	<-t.slots
 	w.Header().Set(runHeader, strconv.FormatInt(time.Since(arrived).Microseconds(), 10))
 	t.writeLoadHeaders(w)
-	answer := ExpectedResponse(r.URL.Path, body, t.config.ResponseBytes)
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.Itoa(len(answer))))
+	response := ExpectedResponse(r.URL.Path, body, t.config.ResponseBytes)
+	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
+	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.Itoa(len(response))))
 	// The entry host went away if this fails.
-	_, _ = w.Write(answer)
+	_, _ = w.Write(response)
 }
 
 func (t *Target) writeLoadHeaders(w http.ResponseWriter) {
@@ -157,9 +157,9 @@
 	_, _ = h.Write([]byte(path))
 	_, _ = h.Write(body)
 	pattern := fmt.Sprintf("%s %016x\n", path, h.Sum64())
-	answer := make([]byte, 0, size+len(pattern))
-	for len(answer) < size {
-		answer = append(answer, pattern...)
+	response := make([]byte, 0, size+len(pattern))
+	for len(response) < size {
+		response = append(response, pattern...)
 	}
-	return answer[:size]
+	return response[:size]
 }
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -21,7 +21,7 @@
 }
 
 // MeasureIdle watches hosts for a while without sending anything; errors are ErrNoStatus.
-func MeasureIdle(ctx context.Context, hosts []string, length time.Duration) ([]IdleUsage, error) {
+func MeasureIdle(ctx context.Context, hosts []string, duration time.Duration) ([]IdleUsage, error) {
 	before := make([]entry.ProcessStatus, len(hosts))
 	for i, host := range hosts {
 		var err error
@@ -29,7 +29,7 @@
 			return nil, err
 		}
 	}
-	sleep(ctx, length)
+	sleep(ctx, duration)
 	var list []IdleUsage
 	for i, host := range hosts {
 		after, err := processStatus(ctx, host)
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -103,7 +103,7 @@
 		}
 		group.Go(func() {
 			ok := sendRequest(ctx, transport, "http://"+address+c.Path)
-			took := time.Since(start.Add(due))
+			latency := time.Since(start.Add(due))
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
@@ -111,7 +111,7 @@
 				return
 			}
 			// The run is shorter than what the histogram holds.
-			_ = histogram.RecordValue(max(1, took.Microseconds()))
+			_ = histogram.RecordValue(max(1, latency.Microseconds()))
 		})
 	}
 	group.Wait()
--- a/internal/model/loads.go
+++ b/internal/model/loads.go
@@ -13,31 +13,31 @@
 
 // LookupWorkload is a lookup service with more slots and calmer neighbours.
 func LookupWorkload() Workload {
-	l := StockWorkload()
-	l.Name, l.Targets, l.Slots, l.ServiceTime = "lookup", 13, 4, 160*time.Millisecond
-	l.LatencyGoal, l.CallerTimeout, l.NetworkDelay, l.NoisyShare = 400*time.Millisecond, 1200*time.Millisecond, time.Millisecond, 0.25
-	return l
+	w := StockWorkload()
+	w.Name, w.Targets, w.Slots, w.ServiceTime = "lookup", 13, 4, 160*time.Millisecond
+	w.LatencyGoal, w.CallerTimeout, w.NetworkDelay, w.NoisyShare = 400*time.Millisecond, 1200*time.Millisecond, time.Millisecond, 0.25
+	return w
 }
 
 // Workloads returns the loads that experiments play: calm, busy, overloaded, a burst and servers in trouble.
 func Workloads() []Workload {
 	var list []Workload
-	add := func(l Workload, suffix string, change func(*Workload)) {
-		l.Name += "-" + suffix
-		change(&l)
-		list = append(list, l)
+	add := func(w Workload, suffix string, change func(*Workload)) {
+		w.Name += "-" + suffix
+		change(&w)
+		list = append(list, w)
 	}
 	for _, base := range []Workload{StockWorkload(), LookupWorkload()} {
-		add(base, "calm", func(l *Workload) { l.OfferedLoad = 0.4 })
-		add(base, "busy", func(l *Workload) { l.OfferedLoad = 0.85 })
-		add(base, "twice", func(l *Workload) { l.OfferedLoad = 2 })
-		add(base, "fivefold", func(l *Workload) { l.OfferedLoad = 5 })
-		add(base, "burst", func(l *Workload) { l.BurstOfferedLoad, l.BurstFrom, l.BurstUntil = 1.5, 10*time.Second, 15*time.Second })
-		add(base, "slow", func(l *Workload) {
-			l.Fault, l.FaultShare, l.FaultFrom, l.FaultUntil = Slow, 0.25, 8*time.Second, 20*time.Second
+		add(base, "calm", func(w *Workload) { w.OfferedLoad = 0.4 })
+		add(base, "busy", func(w *Workload) { w.OfferedLoad = 0.85 })
+		add(base, "twice", func(w *Workload) { w.OfferedLoad = 2 })
+		add(base, "fivefold", func(w *Workload) { w.OfferedLoad = 5 })
+		add(base, "burst", func(w *Workload) { w.BurstOfferedLoad, w.BurstFrom, w.BurstUntil = 1.5, 10*time.Second, 15*time.Second })
+		add(base, "slow", func(w *Workload) {
+			w.Fault, w.FaultShare, w.FaultFrom, w.FaultUntil = Slow, 0.25, 8*time.Second, 20*time.Second
 		})
-		add(base, "mute", func(l *Workload) {
-			l.Fault, l.FaultShare, l.FaultFrom, l.FaultUntil = Mute, 0.25, 8*time.Second, 20*time.Second
+		add(base, "mute", func(w *Workload) {
+			w.Fault, w.FaultShare, w.FaultFrom, w.FaultUntil = Mute, 0.25, 8*time.Second, 20*time.Second
 		})
 	}
 	return list
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -107,21 +107,21 @@
 }
 
 // Simulate runs a policy against a load.
-func Simulate(p Policy, l Workload) Result {
-	s := &simulation{workload: l, random: rand.New(rand.NewPCG(l.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func Simulate(p Policy, w Workload) Result {
+	s := &simulation{workload: w, random: rand.New(rand.NewPCG(w.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	s.servers = newServers(s)
-	s.result.Policy, s.result.Workload = p.Name(), l.Name
-	player := newBalancer(s, p)
+	s.result.Policy, s.result.Workload = p.Name(), w.Name
+	b := newBalancer(s, p)
 	s.scheduleFaults()
-	s.scheduleArrivals(player)
+	s.scheduleArrivals(b)
 	s.runUntil(s.totalDuration())
 	return s.summarize()
 }
 
 // scheduleFaults schedules the troubles of some servers.
 func (s *simulation) scheduleFaults() {
-	struck := int(s.workload.FaultShare * float64(len(s.servers)))
-	for _, server := range s.servers[:struck] {
+	faulty := int(s.workload.FaultShare * float64(len(s.servers)))
+	for _, server := range s.servers[:faulty] {
 		s.schedule(s.workload.FaultFrom, func() { server.fault = s.workload.Fault })
 		s.schedule(s.workload.FaultUntil, func() { server.fault = NoFault })
 	}
@@ -129,26 +129,26 @@
 
 // arrivalRate returns the requests a second at this moment.
 func (s *simulation) arrivalRate() float64 {
-	use := s.workload.OfferedLoad
+	offered := s.workload.OfferedLoad
 	if s.now >= s.workload.BurstFrom && s.now < s.workload.BurstUntil {
-		use = s.workload.BurstOfferedLoad
+		offered = s.workload.BurstOfferedLoad
 	}
-	return use * Capacity(s.workload)
+	return offered * Capacity(s.workload)
 }
 
 // Capacity returns how many requests a second the quiet servers carry on average, all slots but the crowded ones in use.
-func Capacity(l Workload) float64 {
-	free := 0
-	for n := 1; n <= l.Slots; n++ {
-		if float64(n) <= l.NearlyFullShare*float64(l.Slots) {
-			free = n
+func Capacity(w Workload) float64 {
+	usable := 0
+	for n := 1; n <= w.Slots; n++ {
+		if float64(n) <= w.NearlyFullShare*float64(w.Slots) {
+			usable = n
 		}
 	}
-	return float64(l.Targets) * (1 - l.NoisyShare) * float64(max(1, free)) / l.ServiceTime.Seconds()
+	return float64(w.Targets) * (1 - w.NoisyShare) * float64(max(1, usable)) / w.ServiceTime.Seconds()
 }
 
 // scheduleArrivals lets callers come until the load ends.
-func (s *simulation) scheduleArrivals(p balancer) {
+func (s *simulation) scheduleArrivals(b balancer) {
 	if s.now >= s.workload.Duration {
 		return
 	}
@@ -158,8 +158,8 @@
 		if s.now >= warmUpDuration {
 			s.result.Requests++
 		}
-		p.submit(j)
-		s.scheduleArrivals(p)
+		b.submit(j)
+		s.scheduleArrivals(b)
 	})
 }
 
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -11,9 +11,9 @@
 // workloadNamed returns a load by its name.
 func workloadNamed(t *testing.T, name string) Workload {
 	t.Helper()
-	for _, l := range Workloads() {
-		if l.Name == name {
-			return l
+	for _, w := range Workloads() {
+		if w.Name == name {
+			return w
 		}
 	}
 	t.Fatalf("no load is named %s", name)
@@ -26,9 +26,9 @@
 // TestRunsRepeat plays a load twice: the same seed must give the same result.
 func TestRunsRepeat(t *testing.T) {
 	is := is.New(t)
-	l := workloadNamed(t, "stock-burst")
-	l.Duration = 12 * time.Second
-	is.Equal(Simulate(Home{Hedges: true}, l), Simulate(Home{Hedges: true}, l))
+	w := workloadNamed(t, "stock-burst")
+	w.Duration = 12 * time.Second
+	is.Equal(Simulate(Home{Hedges: true}, w), Simulate(Home{Hedges: true}, w))
 }
 
 // TestHomeUnderOverload replays twice and five times what the servers carry: as many requests as the ideal queue answers
@@ -37,9 +37,9 @@
 	for _, name := range []string{"stock-twice", "stock-fivefold", "lookup-twice", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := workloadNamed(t, name)
-			l.Duration = 6 * time.Second
-			ideal, home := Simulate(Ideal{}, l), Simulate(Home{Hedges: true}, l)
+			w := workloadNamed(t, name)
+			w.Duration = 6 * time.Second
+			ideal, home := Simulate(Ideal{}, w), Simulate(Home{Hedges: true}, w)
 			t.Logf("ideal %+v", ideal)
 			t.Logf("home %+v", home)
 			is.True(inGoalShare(home) >= 0.95*inGoalShare(ideal))
@@ -50,17 +50,17 @@
 
 // TestHomeBeatsCounts replays every other load: the home must earn more than any policy that sends at once.
 func TestHomeBeatsCounts(t *testing.T) {
-	for _, l := range Workloads() {
-		if strings.HasSuffix(l.Name, "twice") || strings.HasSuffix(l.Name, "fivefold") {
+	for _, w := range Workloads() {
+		if strings.HasSuffix(w.Name, "twice") || strings.HasSuffix(w.Name, "fivefold") {
 			continue
 		}
-		t.Run(l.Name, func(t *testing.T) {
+		t.Run(w.Name, func(t *testing.T) {
 			is := is.New(t)
-			l.Duration = 14 * time.Second
-			home := Simulate(Home{Hedges: true}, l)
+			w.Duration = 14 * time.Second
+			home := Simulate(Home{Hedges: true}, w)
 			t.Logf("home %+v", home)
 			for _, p := range []Policy{LeastInFlight{Hosts: 1}, LeastInFlight{Hosts: 13}, AtRandom{}} {
-				other := Simulate(p, l)
+				other := Simulate(p, w)
 				t.Logf("%s %+v", p.Name(), other)
 				is.True(home.Utility > other.Utility)
 			}
@@ -74,19 +74,19 @@
 
 func testNearIdeal(t *testing.T, name string) {
 	is := is.New(t)
-	l := workloadNamed(t, name)
-	ideal, home := Simulate(Ideal{}, l), Simulate(Home{Hedges: true}, l)
+	w := workloadNamed(t, name)
+	ideal, home := Simulate(Ideal{}, w), Simulate(Home{Hedges: true}, w)
 	t.Logf("ideal p99 %v, home p99 %v, ratio %.2f", ideal.P99, home.P99, float64(home.P99)/float64(ideal.P99))
 	is.True(float64(home.P99) <= 1.15*float64(ideal.P99))
 }
 
 // TestProbesWithinBudget bounds the probes under every load.
 func TestProbesWithinBudget(t *testing.T) {
-	for _, l := range Workloads() {
-		t.Run(l.Name, func(t *testing.T) {
+	for _, w := range Workloads() {
+		t.Run(w.Name, func(t *testing.T) {
 			is := is.New(t)
-			l.Duration = 8 * time.Second
-			r := Simulate(Home{Hedges: true}, l)
+			w.Duration = 8 * time.Second
+			r := Simulate(Home{Hedges: true}, w)
 			t.Logf("%.1f probes a target and second", r.Probes)
 			is.True(r.Probes <= 20)
 		})
@@ -99,11 +99,11 @@
 	for _, name := range []string{"stock-burst", "lookup-burst", "stock-twice", "lookup-twice", "stock-fivefold", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := workloadNamed(t, name)
-			if l.OfferedLoad > 1 {
-				l.Duration = 6 * time.Second
+			w := workloadNamed(t, name)
+			if w.OfferedLoad > 1 {
+				w.Duration = 6 * time.Second
 			}
-			r := Simulate(Home{Hedges: true}, l)
+			r := Simulate(Home{Hedges: true}, w)
 			t.Logf("%d refused, %.3f of them after half of their patience", r.Refused, r.LateRefusalShare)
 			is.True(r.Refused > 0)
 			is.True(r.LateRefusalShare <= 0.1)
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -80,56 +80,56 @@
 	timerSet bool
 }
 
-func (p *idealBalancer) submit(j *job) {
-	p.queue = append(p.queue, j)
-	p.dispatch()
+func (b *idealBalancer) submit(j *job) {
+	b.queue = append(b.queue, j)
+	b.dispatch()
 }
 
 // dispatch starts what can meet its goal; the rest waits until half of the slots are free.
-func (p *idealBalancer) dispatch() {
-	now := p.sim.now
-	waiting := p.queue[:0]
-	for _, j := range p.queue {
+func (b *idealBalancer) dispatch() {
+	now := b.sim.now
+	remaining := b.queue[:0]
+	for _, j := range b.queue {
 		switch {
 		case now > j.deadline:
-			p.sim.recordRefusal(j)
-		case !p.tryStart(j):
-			waiting = append(waiting, j)
+			b.sim.recordRefusal(j)
+		case !b.tryStart(j):
+			remaining = append(remaining, j)
 		}
 	}
-	p.queue = waiting
-	if len(p.queue) > 0 && !p.timerSet {
-		p.timerSet = true
-		p.sim.schedule(time.Millisecond, func() {
-			p.timerSet = false
-			p.dispatch()
+	b.queue = remaining
+	if len(b.queue) > 0 && !b.timerSet {
+		b.timerSet = true
+		b.sim.schedule(time.Millisecond, func() {
+			b.timerSet = false
+			b.dispatch()
 		})
 	}
 }
 
-func (p *idealBalancer) tryStart(j *job) bool {
-	best, took, free, slots := (*server)(nil), 0.0, 0, 0
-	for _, s := range p.sim.servers {
-		slots += p.sim.workload.Slots
-		free += p.sim.workload.Slots - len(s.running)
-		if s.fault == Mute || len(s.running) >= p.sim.workload.Slots {
+func (b *idealBalancer) tryStart(j *job) bool {
+	best, shortest, freeSlots, slots := (*server)(nil), 0.0, 0, 0
+	for _, s := range b.sim.servers {
+		slots += b.sim.workload.Slots
+		freeSlots += b.sim.workload.Slots - len(s.running)
+		if s.fault == Mute || len(s.running) >= b.sim.workload.Slots {
 			continue
 		}
-		if t := s.expectedServiceTime(); best == nil || t < took {
-			best, took = s, t
+		if t := s.expectedServiceTime(); best == nil || t < shortest {
+			best, shortest = s, t
 		}
 	}
 	if best == nil {
 		return false
 	}
-	inGoal := p.sim.now+time.Duration(took*float64(time.Second)) <= j.goal
-	hopeless := p.sim.now+p.sim.workload.ServiceTime > j.goal
-	if !inGoal && (!hopeless || 2*free < slots) {
+	meetsGoal := b.sim.now+time.Duration(shortest*float64(time.Second)) <= j.goal
+	late := b.sim.now+b.sim.workload.ServiceTime > j.goal
+	if !meetsGoal && (!late || 2*freeSlots < slots) {
 		return false
 	}
 	best.accept(&run{job: j, onResponse: func(bool) {
-		p.sim.recordResponse(j)
-		p.sim.schedule(0, p.dispatch)
+		b.sim.recordResponse(j)
+		b.sim.schedule(0, b.dispatch)
 	}})
 	return true
 }
@@ -154,44 +154,44 @@
 }
 
 func newDirectBalancer(s *simulation, hosts int) *directBalancer {
-	p := &directBalancer{sim: s}
+	b := &directBalancer{sim: s}
 	for range hosts {
-		p.inFlight = append(p.inFlight, make([]int, len(s.servers)))
+		b.inFlight = append(b.inFlight, make([]int, len(s.servers)))
 	}
-	return p
+	return b
 }
 
-func (p *directBalancer) submit(j *job) {
-	index, done := p.chooseServer()
-	server := p.sim.servers[index]
-	p.sim.schedule(p.sim.workload.NetworkDelay, func() {
-		taken := server.accept(&run{job: j, onResponse: func(bool) {
-			p.sim.schedule(p.sim.workload.NetworkDelay, func() {
-				done()
-				p.sim.recordResponse(j)
+func (b *directBalancer) submit(j *job) {
+	index, release := b.chooseServer()
+	server := b.sim.servers[index]
+	b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+		accepted := server.accept(&run{job: j, onResponse: func(bool) {
+			b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+				release()
+				b.sim.recordResponse(j)
 			})
 		}})
-		if !taken {
-			done()
-			p.sim.recordRefusal(j)
+		if !accepted {
+			release()
+			b.sim.recordRefusal(j)
 		}
 	})
 }
 
-func (p *directBalancer) chooseServer() (int, func()) {
-	first := p.sim.random.IntN(len(p.sim.servers))
-	if len(p.inFlight) == 0 {
+func (b *directBalancer) chooseServer() (int, func()) {
+	first := b.sim.random.IntN(len(b.sim.servers))
+	if len(b.inFlight) == 0 {
 		return first, func() {}
 	}
-	counts := p.inFlight[p.sim.random.IntN(len(p.inFlight))]
+	inFlight := b.inFlight[b.sim.random.IntN(len(b.inFlight))]
 	best := first
-	for i := range counts {
-		if n := (first + i) % len(counts); counts[n] < counts[best] {
+	for i := range inFlight {
+		if n := (first + i) % len(inFlight); inFlight[n] < inFlight[best] {
 			best = n
 		}
 	}
-	counts[best]++
-	return best, func() { counts[best]-- }
+	inFlight[best]++
+	return best, func() { inFlight[best]-- }
 }
 
 // Retry budget of the model's service.
@@ -211,47 +211,47 @@
 	runs map[uint64][]*run
 }
 
-func newHomeBalancer(s *simulation, p Home) *homeBalancer {
-	h := &homeBalancer{sim: s, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
+func newHomeBalancer(sim *simulation, p Home) *homeBalancer {
+	b := &homeBalancer{sim: sim, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
 	budget := placement.Budget{Ratio: retryBudgetRatio, Slack: retryBudgetSlack, Window: retryBudgetWindow}
 	if !p.Hedges {
 		budget = placement.Budget{Window: retryBudgetWindow}
 	}
-	h.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(s.workload.Seed, 9)), Budget: budget, Notify: h.onVerdict})
-	h.home.SetPrimary(true)
+	b.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(sim.workload.Seed, 9)), Budget: budget, Notify: b.onVerdict})
+	b.home.SetPrimary(true)
 	var targets []placement.Target
-	for _, t := range s.servers {
-		targets = append(targets, placement.Target{Name: t.name, Address: t.name, Slots: s.workload.Slots})
+	for _, t := range sim.servers {
+		targets = append(targets, placement.Target{Name: t.name, Address: t.name, Slots: sim.workload.Slots})
 	}
 	slices.SortFunc(targets, func(a, b placement.Target) int { return cmp.Compare(a.Name, b.Name) })
-	h.home.SetTargets(0, targets)
-	h.tick()
-	return h
+	b.home.SetTargets(0, targets)
+	b.tick()
+	return b
 }
 
-func (h *homeBalancer) tick() {
-	h.home.Tick(h.sim.now)
-	h.sendProbes()
-	h.sim.schedule(homeTickInterval, h.tick)
+func (b *homeBalancer) tick() {
+	b.home.Tick(b.sim.now)
+	b.sendProbes()
+	b.sim.schedule(homeTickInterval, b.tick)
 }
 
 // sendProbes sends the probes that are due.
-func (h *homeBalancer) sendProbes() {
-	for _, p := range h.home.Probes(h.sim.now) {
-		server := h.serverByName(p.Target)
-		h.sim.probes++
-		h.sim.schedule(h.sim.workload.NetworkDelay, func() {
-			load := server.loadReport()
-			h.sim.schedule(h.sim.workload.NetworkDelay, func() {
-				h.home.Probed(h.sim.now, server.name, placement.Healthy, &load)
-				h.sendProbes()
+func (b *homeBalancer) sendProbes() {
+	for _, p := range b.home.Probes(b.sim.now) {
+		server := b.serverByName(p.Target)
+		b.sim.probes++
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+			report := server.loadReport()
+			b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+				b.home.Probed(b.sim.now, server.name, placement.Healthy, &report)
+				b.sendProbes()
 			})
 		})
 	}
 }
 
-func (h *homeBalancer) serverByName(name string) *server {
-	for _, s := range h.sim.servers {
+func (b *homeBalancer) serverByName(name string) *server {
+	for _, s := range b.sim.servers {
 		if s.name == name {
 			return s
 		}
@@ -259,77 +259,77 @@
 	return nil
 }
 
-func (h *homeBalancer) submit(j *job) {
-	h.jobs[j.id] = j
-	h.sim.schedule(h.sim.workload.NetworkDelay, func() { h.requestPlacement(j, nil) })
+func (b *homeBalancer) submit(j *job) {
+	b.jobs[j.id] = j
+	b.sim.schedule(b.sim.workload.NetworkDelay, func() { b.requestPlacement(j, nil) })
 }
 
-func (h *homeBalancer) requestPlacement(j *job, tried []string) {
-	h.home.Ask(h.sim.now, &placement.Request{
-		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: h.sim.workload.Repeatable, Tried: tried,
+func (b *homeBalancer) requestPlacement(j *job, tried []string) {
+	b.home.Ask(b.sim.now, &placement.Request{
+		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: b.sim.workload.Repeatable, Tried: tried,
 	})
-	h.sendProbes()
+	b.sendProbes()
 }
 
 // onVerdict carries a verdict to the host that asked.
-func (h *homeBalancer) onVerdict(r *placement.Request, v placement.Verdict) {
-	j := h.jobs[r.ID.Number]
+func (b *homeBalancer) onVerdict(r *placement.Request, v placement.Verdict) {
+	j := b.jobs[r.ID.Number]
 	switch v := v.(type) {
 	case placement.Placed:
-		h.sim.schedule(2*h.sim.workload.NetworkDelay, func() { h.send(j, v.Target) })
+		b.sim.schedule(2*b.sim.workload.NetworkDelay, func() { b.send(j, v.Target) })
 	case placement.Hedge:
-		h.sim.extraAttempts++
-		h.sim.schedule(2*h.sim.workload.NetworkDelay, func() { h.send(j, v.Target) })
+		b.sim.extraAttempts++
+		b.sim.schedule(2*b.sim.workload.NetworkDelay, func() { b.send(j, v.Target) })
 	case placement.Refused:
-		h.sim.schedule(h.sim.workload.NetworkDelay, func() { h.sim.recordRefusal(j) })
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() { b.sim.recordRefusal(j) })
 	}
 }
 
 // send offers the request to the server, as the host does.
-func (h *homeBalancer) send(j *job, name string) {
-	server := h.serverByName(name)
+func (b *homeBalancer) send(j *job, target string) {
+	server := b.serverByName(target)
 	if j.finished {
-		h.reportRunEnd(j, name, placement.Abandoned, 0, nil)
+		b.reportRunEnd(j, target, placement.Abandoned, 0, nil)
 		return
 	}
-	sent := h.sim.now
+	sent := b.sim.now
 	r := &run{job: j}
 	r.onResponse = func(bool) {
-		load := server.loadReport()
-		h.sim.schedule(h.sim.workload.NetworkDelay, func() {
-			first := !j.finished
-			h.sim.recordResponse(j)
-			h.reportRunEnd(j, name, placement.Answered, h.sim.now-sent, &load)
-			if first {
-				h.cancelOthers(j, r)
+		report := server.loadReport()
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+			isFirst := !j.finished
+			b.sim.recordResponse(j)
+			b.reportRunEnd(j, target, placement.Answered, b.sim.now-sent, &report)
+			if isFirst {
+				b.cancelOthers(j, r)
 			}
 		})
 	}
 	if !server.accept(r) {
-		load := server.loadReport()
-		h.reportRunEnd(j, name, placement.NotRun, 0, &load)
-		h.sim.recordRefusal(j)
+		report := server.loadReport()
+		b.reportRunEnd(j, target, placement.NotRun, 0, &report)
+		b.sim.recordRefusal(j)
 		return
 	}
-	h.runs[j.id] = append(h.runs[j.id], r)
+	b.runs[j.id] = append(b.runs[j.id], r)
 }
 
 // reportRunEnd reports the end of a run to the home.
-func (h *homeBalancer) reportRunEnd(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.Load) {
-	h.sim.schedule(h.sim.workload.NetworkDelay, func() {
-		h.home.Done(h.sim.now, placement.Done{ID: placement.ID{Number: j.id}, Target: name, Outcome: outcome, Took: took, Load: load})
-		h.sendProbes()
+func (b *homeBalancer) reportRunEnd(j *job, target string, outcome placement.Outcome, duration time.Duration, report *placement.Load) {
+	b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+		b.home.Done(b.sim.now, placement.Done{ID: placement.ID{Number: j.id}, Target: target, Outcome: outcome, Took: duration, Load: report})
+		b.sendProbes()
 	})
 }
 
 // cancelOthers closes the connections of runs that came second.
-func (h *homeBalancer) cancelOthers(j *job, winner *run) {
-	for _, r := range h.runs[j.id] {
+func (b *homeBalancer) cancelOthers(j *job, winner *run) {
+	for _, r := range b.runs[j.id] {
 		if r == winner {
 			continue
 		}
-		h.sim.schedule(h.sim.workload.NetworkDelay, func() { r.server.cancel(r) })
-		h.reportRunEnd(j, r.server.name, placement.Abandoned, 0, nil)
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() { r.server.cancel(r) })
+		b.reportRunEnd(j, r.server.name, placement.Abandoned, 0, nil)
 	}
-	delete(h.runs, j.id)
+	delete(b.runs, j.id)
 }
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -56,12 +56,12 @@
 
 // start starts a run. What it takes is settled at its start, by the machine's pace and by how full the server is.
 func (s *server) start(r *run) {
-	load := s.sim.workload
+	workload := s.sim.workload
 	s.running = append(s.running, r)
 	r.startedAt = s.sim.now
 	factor := s.pace
-	if float64(len(s.running)) > load.NearlyFullShare*float64(load.Slots) {
-		factor *= load.NearlyFullSlowdown
+	if float64(len(s.running)) > workload.NearlyFullShare*float64(workload.Slots) {
+		factor *= workload.NearlyFullSlowdown
 	}
 	if s.fault == Slow {
 		factor *= slowFaultFactor
@@ -75,8 +75,8 @@
 		return
 	}
 	r.finished = true
-	lost := s.fault == Mute && s.sim.random.Float64() < muteFaultDropShare
-	if !lost {
+	dropped := s.fault == Mute && s.sim.random.Float64() < muteFaultDropShare
+	if !dropped {
 		r.onResponse(true)
 	}
 	s.release(r)
@@ -92,9 +92,9 @@
 }
 
 func (s *server) release(r *run) {
-	same := func(other *run) bool { return other == r }
-	s.queued = slices.DeleteFunc(s.queued, same)
-	s.running = slices.DeleteFunc(s.running, same)
+	isRun := func(other *run) bool { return other == r }
+	s.queued = slices.DeleteFunc(s.queued, isRun)
+	s.running = slices.DeleteFunc(s.running, isRun)
 	for len(s.queued) > 0 && len(s.running) < s.sim.workload.Slots {
 		next := s.queued[0]
 		s.queued = s.queued[1:]
@@ -109,12 +109,12 @@
 
 // redrawPace draws a new pace again and again.
 func (s *server) redrawPace() {
-	load := s.sim.workload
+	workload := s.sim.workload
 	s.pace = 1
-	if s.sim.random.Float64() < load.NoisyShare {
-		s.pace = load.NoisyPace
+	if s.sim.random.Float64() < workload.NoisyShare {
+		s.pace = workload.NoisyPace
 	}
-	s.sim.schedule(time.Duration(s.sim.random.ExpFloat64()*float64(load.NoiseInterval)), s.redrawPace)
+	s.sim.schedule(time.Duration(s.sim.random.ExpFloat64()*float64(workload.NoiseInterval)), s.redrawPace)
 }
 
 func newServers(sim *simulation) []*server {
@@ -128,6 +128,6 @@
 }
 
 // drawServiceTime draws the time that a request takes at the usual pace.
-func drawServiceTime(random *rand.Rand, l Workload) float64 {
-	return l.ServiceTime.Seconds() * math.Exp(l.ServiceTimeSigma*random.NormFloat64()-l.ServiceTimeSigma*l.ServiceTimeSigma/2)
+func drawServiceTime(random *rand.Rand, w Workload) float64 {
+	return w.ServiceTime.Seconds() * math.Exp(w.ServiceTimeSigma*random.NormFloat64()-w.ServiceTimeSigma*w.ServiceTimeSigma/2)
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -81,14 +81,14 @@
 
 // services plots the targets of every service that the records name.
 func services(s Source) []service {
-	names := map[string]string{}
+	serviceOf := map[string]string{}
 	for _, r := range s.Explanation.Records {
 		if r.Kind == record.TargetMoved {
-			names[r.Target] = r.Service
+			serviceOf[r.Target] = r.Service
 		}
 	}
 	byService := map[string][]record.Interval{}
-	for target, name := range names {
+	for target, name := range serviceOf {
 		byService[name] = append(byService[name], record.Timeline(s.Explanation.Records, target, s.Stretch)...)
 	}
 	var list []service
@@ -154,9 +154,9 @@
 func budgets(hosts []operator.HostStatus) []budget {
 	var list []budget
 	for _, h := range hosts {
-		u := h.Status.Budget
-		for _, d := range u.Domains {
-			list = append(list, budget{h.Status.Host, d.Domain, d.Probes, d.Bytes, d.Denied, u.ProbesPerSec, u.BytesPerSec})
+		usage := h.Status.Budget
+		for _, d := range usage.Domains {
+			list = append(list, budget{h.Status.Host, d.Domain, d.Probes, d.Bytes, d.Denied, usage.ProbesPerSec, usage.BytesPerSec})
 		}
 	}
 	slices.SortFunc(list, func(a, b budget) int { return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Domain, b.Domain)) })
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -50,22 +50,22 @@
 
 // newPlot draws intervals over a stretch; rows are sorted by target and host.
 func newPlot(intervals []record.Interval, s record.Stretch) plot {
-	type line struct{ target, host string }
-	rows := map[line][]record.Interval{}
-	var lines []line
+	type rowKey struct{ target, host string }
+	rows := map[rowKey][]record.Interval{}
+	var keys []rowKey
 	for _, i := range intervals {
-		k := line{i.Target, i.Host}
-		if rows[k] == nil {
-			lines = append(lines, k)
+		key := rowKey{i.Target, i.Host}
+		if rows[key] == nil {
+			keys = append(keys, key)
 		}
-		rows[k] = append(rows[k], i)
+		rows[key] = append(rows[key], i)
 	}
-	slices.SortFunc(lines, func(a, b line) int { return cmp.Or(cmp.Compare(a.target, b.target), cmp.Compare(a.host, b.host)) })
-	p := plot{Width: labelWidth + plotWidth, Height: len(lines)*rowHeight + axisHeight}
+	slices.SortFunc(keys, func(a, b rowKey) int { return cmp.Or(cmp.Compare(a.target, b.target), cmp.Compare(a.host, b.host)) })
+	p := plot{Width: labelWidth + plotWidth, Height: len(keys)*rowHeight + axisHeight}
 	scale := plotWidth / max(s.To.Sub(s.From).Seconds(), 1e-9)
-	for n, k := range lines {
-		r := row{Label: k.target + " on " + k.host, LabelX: labelWidth - 8, TextY: n*rowHeight + rowHeight - 4}
-		for _, i := range rows[k] {
+	for n, key := range keys {
+		r := row{Label: key.target + " on " + key.host, LabelX: labelWidth - 8, TextY: n*rowHeight + rowHeight - 4}
+		for _, i := range rows[key] {
 			r.Bars = append(r.Bars, newBar(i, s, scale, n))
 		}
 		p.Rows = append(p.Rows, r)
