--- a/internal/model/events.go
+++ b/internal/model/events.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a time; order breaks ties, so that every run repeats.
+// event is a function to run at a virtual time. Events with the same time run in the order of their sequence numbers, so
+// that a simulation gives the same result each time.
 type event struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-// eventQueue is a heap of what is still to happen.
+// eventQueue is a heap of pending events, the earliest first.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -36,20 +37,20 @@
 	return last
 }
 
-// clock runs events in virtual time.
+// clock is the virtual clock of a simulation. It runs events and advances to the time of each.
 type clock struct {
 	now          time.Duration
 	queue        eventQueue
 	lastSequence int
 }
 
-// schedule runs a function once some time has passed.
+// schedule schedules a function to run after the duration d of virtual time.
 func (c *clock) schedule(d time.Duration, run func()) {
 	c.lastSequence++
 	heap.Push(&c.queue, event{c.now + d, c.lastSequence, run})
 }
 
-// runUntil carries on until nothing is left to happen or the time is over.
+// runUntil runs events, and those that they schedule, until none is due at or before the given time.
 func (c *clock) runUntil(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
--- a/internal/model/loads.go
+++ b/internal/model/loads.go
@@ -2,16 +2,20 @@
 
 import "time"
 
-// StockWorkload is a lookup service whose servers have few slots and whose callers are in a hurry.
+// StockWorkload returns the workload of a lookup service with few slots per server, a tight latency goal and short caller
+// time-outs.
 func StockWorkload() Workload {
 	return Workload{
-		Name: "stock", Targets: 14, Slots: 3, ServiceTime: 90 * time.Millisecond, ServiceTimeSigma: 0.3, LatencyGoal: 250 * time.Millisecond, CallerTimeout: time.Second,
-		OfferedLoad: 0.6, Duration: 30 * time.Second, NetworkDelay: 1500 * time.Microsecond, NoisyShare: 0.35, NoisyPace: 4, NoiseInterval: 300 * time.Millisecond,
+		Name: "stock", Targets: 14, Slots: 3, ServiceTime: 90 * time.Millisecond, ServiceTimeSigma: 0.3,
+		LatencyGoal: 250 * time.Millisecond, CallerTimeout: time.Second,
+		OfferedLoad: 0.6, Duration: 30 * time.Second, NetworkDelay: 1500 * time.Microsecond,
+		NoisyShare: 0.35, NoisyPace: 4, NoiseInterval: 300 * time.Millisecond,
 		NearlyFullShare: 0.8, NearlyFullSlowdown: 1.7, Repeatable: true, Seed: 1,
 	}
 }
 
-// LookupWorkload is a lookup service with more slots and calmer neighbours.
+// LookupWorkload returns the workload of a lookup service with more slots per server, longer requests and fewer servers
+// slowed by noisy neighbours.
 func LookupWorkload() Workload {
 	w := StockWorkload()
 	w.Name, w.Targets, w.Slots, w.ServiceTime = "lookup", 13, 4, 160*time.Millisecond
@@ -19,7 +23,8 @@
 	return w
 }
 
-// Workloads returns the loads that experiments play: calm, busy, overloaded, a burst and servers in trouble.
+// Workloads returns the workloads of the experiments. For each service they are low and high load, overload by factors of
+// 2 and 5, a burst of overload, slow servers and servers that drop responses.
 func Workloads() []Workload {
 	var list []Workload
 	add := func(w Workload, suffix string, change func(*Workload)) {
@@ -43,7 +48,7 @@
 	return list
 }
 
-// Policies returns the policies that experiments compare, the ideal first.
+// Policies returns the policies that the experiments compare, the ideal one first.
 func Policies() []Policy {
 	return []Policy{Ideal{}, Home{Hedges: true}, Home{}, LeastInFlight{Hosts: 1}, LeastInFlight{Hosts: 13}, AtRandom{}}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,5 +1,9 @@
-// Package model plays policies against backend servers in virtual time: slots, short queues, neighbours whose load shifts
-// within milliseconds, callers with a goal and a time limit, and faults. It ranks policies and tests them without a network.
+// Package model simulates load-balancing policies in virtual time, to compare and test them without a network.
+//
+// A workload describes a service: backend servers with a number of slots and a short queue, noisy neighbours that slow
+// servers down for fractions of a second, callers with a latency goal and a time-out, and faults of servers. The policies
+// are placement by a home, as the gateway does it with package placement, an ideal queue as the upper bound, and the
+// usual least-requests and random load balancing.
 package model
 
 import (
@@ -9,90 +13,102 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// FaultKind is what goes wrong with some of the servers.
+// FaultKind is a kind of fault of a backend server.
 type FaultKind int
 
-// The kinds of fault.
+// Kinds of faults.
 const (
-	// NoFault is a server in order.
+	// NoFault means that the server works normally.
 	NoFault FaultKind = iota
-	// Slow servers take several times as long, and do not say so.
+	// Slow means that requests take slowFaultFactor times as long, while the pace that the server reports does not show it.
 	Slow
-	// Mute servers run requests and lose a part of the answers.
+	// Mute means that the server runs requests but sends no response to a share of them, muteFaultDropShare.
 	Mute
 )
 
-// String returns the kind's name.
+// String implements fmt.Stringer.
 func (k FaultKind) String() string { return [...]string{"NoFault", "Slow", "Mute"}[k] }
 
-// Strengths of the faults.
+// Severity of the faults.
 const (
 	slowFaultFactor    = 5.0
 	muteFaultDropShare = 0.5
 )
 
-// Workload is a service with its callers and its troubles.
+// Workload describes a service with its backend servers, its callers and the disturbances to simulate.
 type Workload struct {
-	Name    string
+	Name string
+	// Targets is the number of backend servers, and Slots the number of requests that each runs concurrently.
 	Targets int
 	Slots   int
-	// ServiceTime is the mean time of a request at the usual pace, and Spread the deviation of its logarithm.
+	// ServiceTime is the mean time that a request takes on an undisturbed server. Service times are log-normal, and
+	// ServiceTimeSigma is the standard deviation of their natural logarithm.
 	ServiceTime      time.Duration
 	ServiceTimeSigma float64
-	// LatencyGoal is when an answer stops being worth most; Patience is how long callers wait.
+	// LatencyGoal is the latency up to which a response has its full utility. CallerTimeout is how long callers wait.
 	LatencyGoal   time.Duration
 	CallerTimeout time.Duration
-	// OfferedLoad is the rate of requests, relative to what quiet servers carry.
+	// OfferedLoad is the arrival rate of requests as a multiple of Capacity.
 	OfferedLoad float64
-	// BurstOfferedLoad takes its place between BurstFrom and BurstUntil.
+	// BurstOfferedLoad replaces OfferedLoad between BurstFrom and BurstUntil.
 	BurstOfferedLoad      float64
 	BurstFrom, BurstUntil time.Duration
-	Duration              time.Duration
-	// NetworkDelay is the way between two hosts, or a host and a server.
+	// Duration is how long requests arrive.
+	Duration time.Duration
+	// NetworkDelay is the one-way delay between two hosts, or between a host and a backend server.
 	NetworkDelay time.Duration
-	// NoisyShare of the servers are Noise times slower; which ones is drawn anew every NoiseEvery, on average.
+	// NoisyShare is the mean share of servers slowed by noisy neighbours. A request takes NoisyPace times as long there.
+	// Whether a server is slowed is drawn anew at random times, NoiseInterval apart on average.
 	NoisyShare    float64
 	NoisyPace     float64
 	NoiseInterval time.Duration
-	// NearlyFullSlowdown slows a run that starts when more than CrowdedShare of the slots are taken.
+	// NearlyFullSlowdown multiplies the service time of a request that starts on a nearly full server, that is, one that has
+	// more than NearlyFullShare of its slots in use, this request included.
 	NearlyFullShare    float64
 	NearlyFullSlowdown float64
-	// Fault strikes FaultShare of the servers between FaultFrom and FaultUntil.
+	// Fault is the fault of FaultShare of the servers between FaultFrom and FaultUntil.
 	Fault                 FaultKind
 	FaultShare            float64
 	FaultFrom, FaultUntil time.Duration
-	Repeatable            bool
-	Seed                  uint64
+	// Repeatable is set if a request may run more than once, so that it may be hedged.
+	Repeatable bool
+	// Seed is the seed of all random numbers.
+	Seed uint64
 }
 
-// warmUpDuration is how long requests are not counted, so that policies know something.
+// warmUpDuration is the time at the start whose requests are not counted, because policies have not yet learned the state
+// of the servers.
 const warmUpDuration = 2 * time.Second
 
-// Result is how a policy did.
+// Result is the result of simulating a policy under a workload. Requests that arrive during the warm-up are not counted.
 type Result struct {
 	Policy   string
 	Workload string
+	// Requests is the number of requests. Each of them is in one of the next four counts.
 	Requests int
-	InGoal   int
-	Late     int
-	Refused  int
-	Lost     int
-	// Utility is the share of the worth that was earned: 1 in the goal, lateWorth afterwards.
+	// InGoal and Late count responses within the latency goal, and after it but before the caller's time-out.
+	InGoal int
+	Late   int
+	// Refused counts requests that the policy or a full server refused, and Lost those that the caller gave up.
+	Refused int
+	Lost    int
+	// Utility is the mean utility of a request: 1 for a response within the goal, lateUtility for a later one, else 0.
 	Utility float64
-	P50     time.Duration
-	P99     time.Duration
-	// Probes counts per target and second.
+	// P50 and P99 are quantiles of the latency of responses.
+	P50 time.Duration
+	P99 time.Duration
+	// Probes is the number of health probes per target and second.
 	Probes float64
-	// ExtraAttempts counts runs beyond the first, per request.
+	// ExtraAttempts is the number of hedges per request. There are no retries in the simulation.
 	ExtraAttempts float64
-	// LateRefusalShare is the share of refused requests that waited for more than half of their patience before they were refused.
+	// LateRefusalShare is the share of refused requests whose refusal came after more than half of the caller's time-out.
 	LateRefusalShare float64
 }
 
-// lateUtility is what an answer after the goal is worth.
+// lateUtility is the utility of a response after the latency goal.
 const lateUtility = 0.1
 
-// simulation is one run of the model.
+// simulation is the state of one simulation.
 type simulation struct {
 	clock
 	workload      Workload
@@ -106,9 +122,10 @@
 	lateRefusals  int
 }
 
-// Simulate runs a policy against a load.
+// Simulate simulates a policy under a workload. The same arguments give the same result.
 func Simulate(p Policy, w Workload) Result {
-	s := &simulation{workload: w, random: rand.New(rand.NewPCG(w.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	s := &simulation{workload: w, random: rand.New(rand.NewPCG(w.Seed, 7)),
+		latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	s.servers = newServers(s)
 	s.result.Policy, s.result.Workload = p.Name(), w.Name
 	b := newBalancer(s, p)
@@ -118,7 +135,7 @@
 	return s.summarize()
 }
 
-// scheduleFaults schedules the troubles of some servers.
+// scheduleFaults schedules the start and the end of the faults.
 func (s *simulation) scheduleFaults() {
 	faulty := int(s.workload.FaultShare * float64(len(s.servers)))
 	for _, server := range s.servers[:faulty] {
@@ -127,7 +144,7 @@
 	}
 }
 
-// arrivalRate returns the requests a second at this moment.
+// arrivalRate returns the current arrival rate in requests per second.
 func (s *simulation) arrivalRate() float64 {
 	offered := s.workload.OfferedLoad
 	if s.now >= s.workload.BurstFrom && s.now < s.workload.BurstUntil {
@@ -136,7 +153,8 @@
 	return offered * Capacity(s.workload)
 }
 
-// Capacity returns how many requests a second the quiet servers carry on average, all slots but the crowded ones in use.
+// Capacity returns the capacity of a service in requests per second. It counts the mean number of servers that are not
+// slowed by neighbours, and on each the slots that can be in use before it is nearly full.
 func Capacity(w Workload) float64 {
 	usable := 0
 	for n := 1; n <= w.Slots; n++ {
@@ -147,14 +165,16 @@
 	return float64(w.Targets) * (1 - w.NoisyShare) * float64(max(1, usable)) / w.ServiceTime.Seconds()
 }
 
-// scheduleArrivals lets callers come until the load ends.
+// scheduleArrivals schedules the arrival of the next request, which schedules the one after it, until the workload ends.
+// Arrivals are a Poisson process.
 func (s *simulation) scheduleArrivals(b balancer) {
 	if s.now >= s.workload.Duration {
 		return
 	}
 	s.schedule(time.Duration(s.random.ExpFloat64()/s.arrivalRate()*float64(time.Second)), func() {
 		s.lastID++
-		j := &job{id: s.lastID, arrivedAt: s.now, goal: s.now + s.workload.LatencyGoal, deadline: s.now + s.workload.CallerTimeout, serviceTime: drawServiceTime(s.random, s.workload)}
+		j := &job{id: s.lastID, arrivedAt: s.now, goal: s.now + s.workload.LatencyGoal, deadline: s.now + s.workload.CallerTimeout,
+			serviceTime: drawServiceTime(s.random, s.workload)}
 		if s.now >= warmUpDuration {
 			s.result.Requests++
 		}
@@ -163,7 +183,7 @@
 	})
 }
 
-// recordResponse counts an answer that has reached the caller.
+// recordResponse records that a response has reached the caller.
 func (s *simulation) recordResponse(j *job) {
 	if j.finished {
 		return
@@ -177,11 +197,11 @@
 	} else {
 		s.result.Late++
 	}
-	// The histogram holds a minute; callers wait for seconds.
+	// RecordValue fails above a minute, which latencies do not reach, since callers time out after seconds.
 	_ = s.latencies.RecordValue(int64((s.now - j.arrivedAt) / time.Microsecond))
 }
 
-// recordRefusal counts a request that was turned away.
+// recordRefusal records that a request was refused.
 func (s *simulation) recordRefusal(j *job) {
 	if !j.finished && j.arrivedAt >= warmUpDuration {
 		s.result.Refused++
@@ -192,7 +212,7 @@
 	j.finished = true
 }
 
-// totalDuration is how long a run takes: until the last caller has its answer or gives up.
+// totalDuration returns the virtual time of the simulation, which ends when the last caller times out.
 func (s *simulation) totalDuration() time.Duration {
 	return s.workload.Duration + s.workload.CallerTimeout
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// workloadNamed returns a load by its name.
+// workloadNamed returns the workload with a name.
 func workloadNamed(t *testing.T, name string) Workload {
 	t.Helper()
 	for _, w := range Workloads() {
@@ -16,14 +16,14 @@
 			return w
 		}
 	}
-	t.Fatalf("no load is named %s", name)
+	t.Fatalf("there is no workload named %q", name)
 	return Workload{}
 }
 
-// inGoalShare is the part of all requests that a policy answered within their goal.
+// inGoalShare returns the share of all requests that were answered within the latency goal.
 func inGoalShare(r Result) float64 { return float64(r.InGoal) / float64(max(1, r.Requests)) }
 
-// TestRunsRepeat plays a load twice: the same seed must give the same result.
+// TestRunsRepeat simulates a workload twice: the same seed must give the same result.
 func TestRunsRepeat(t *testing.T) {
 	is := is.New(t)
 	w := workloadNamed(t, "stock-burst")
@@ -31,8 +31,8 @@
 	is.Equal(Simulate(Home{Hedges: true}, w), Simulate(Home{Hedges: true}, w))
 }
 
-// TestHomeUnderOverload replays twice and five times what the servers carry: as many requests as the ideal queue answers
-// in time, to 95 in 100, must be.
+// TestHomeUnderOverload offers two and five times the capacity. The home must answer at least 95% as many requests within
+// the latency goal as the ideal queue does, and must not exceed the retry budget.
 func TestHomeUnderOverload(t *testing.T) {
 	for _, name := range []string{"stock-twice", "stock-fivefold", "lookup-twice", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestHomeBeatsCounts replays every other load: the home must earn more than any policy that sends at once.
+// TestHomeBeatsCounts simulates all workloads without lasting overload. The home must reach a higher utility than each
+// policy that sends requests immediately.
 func TestHomeBeatsCounts(t *testing.T) {
 	for _, w := range Workloads() {
 		if strings.HasSuffix(w.Name, "twice") || strings.HasSuffix(w.Name, "fivefold") {
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestHomeNearIdealLookup and TestHomeNearIdealStock hold p99 at 85 in 100 of what the servers carry against the ideal queue's.
+// TestHomeNearIdealLookup and TestHomeNearIdealStock check that at 85% of the capacity the p99 latency of the home is at
+// most 1.15 times that of the ideal queue.
 func TestHomeNearIdealLookup(t *testing.T) { testNearIdeal(t, "lookup-busy") }
 func TestHomeNearIdealStock(t *testing.T)  { testNearIdeal(t, "stock-busy") }
 
@@ -80,21 +82,21 @@
 	is.True(float64(home.P99) <= 1.15*float64(ideal.P99))
 }
 
-// TestProbesWithinBudget bounds the probes under every load.
+// TestProbesWithinBudget checks that under each workload a target gets at most 20 probes per second on average.
 func TestProbesWithinBudget(t *testing.T) {
 	for _, w := range Workloads() {
 		t.Run(w.Name, func(t *testing.T) {
 			is := is.New(t)
 			w.Duration = 8 * time.Second
 			r := Simulate(Home{Hedges: true}, w)
-			t.Logf("%.1f probes a target and second", r.Probes)
+			t.Logf("%.1f probes per target and second", r.Probes)
 			is.True(r.Probes <= 20)
 		})
 	}
 }
 
-// TestRefusesEarly replays overload: what can't be served must be refused well before its time limit. At most one in ten of
-// the refused may have waited for more than half of it.
+// TestRefusesEarly checks that under overload, requests that cannot be served are refused early: at most 10% of the
+// refused requests may have waited for more than half of the caller's time-out.
 func TestRefusesEarly(t *testing.T) {
 	for _, name := range []string{"stock-burst", "lookup-burst", "stock-twice", "lookup-twice", "stock-fivefold", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +106,7 @@
 				w.Duration = 6 * time.Second
 			}
 			r := Simulate(Home{Hedges: true}, w)
-			t.Logf("%d refused, %.3f of them after half of their patience", r.Refused, r.LateRefusalShare)
+			t.Logf("%d refused, %.3f of them after half of the caller's time-out", r.Refused, r.LateRefusalShare)
 			is.True(r.Refused > 0)
 			is.True(r.LateRefusalShare <= 0.1)
 		})
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -9,26 +9,28 @@
 	"briarcroft/internal/placement"
 )
 
-// Policy is one way of steering: Ideal, Home, LeastInFlight or AtRandom.
+// Policy is a load-balancing policy: Ideal, Home, LeastInFlight or AtRandom.
 type Policy interface {
 	Name() string
 	policy()
 }
 
-// Ideal is one queue that knows every server's pace at once and has no way to travel. Like all others it does not know
-// how much work a request is.
+// Ideal is an upper bound that cannot be built: a single queue that always knows the current pace, load and fault of
+// every server and has no network delay. Like the other policies, it does not know how long a particular request takes.
 type Ideal struct{}
 
-// Home places requests by one home, as gateways do.
+// Home places all requests of the service in its home, with the code that the gateway runs, package placement. A home is
+// the entry host that decides for all entry hosts which server runs which request of a service.
 type Home struct {
-	// Hedges allows second runs beside late ones.
+	// Hedges allows hedging: a second run on another server if the first takes longer than expected.
 	Hedges bool
 }
 
-// LeastInFlight sends each request at once to the server with the fewest requests, by the counts of each of several hosts.
+// LeastInFlight sends each request immediately to the server with the fewest requests in flight. Requests are spread at
+// random over entry hosts, of which there are Hosts, and each of them knows only the requests that it sent itself.
 type LeastInFlight struct{ Hosts int }
 
-// AtRandom sends each request at once to any server.
+// AtRandom sends each request immediately to a random server.
 type AtRandom struct{}
 
 // Name implements Policy.
@@ -58,7 +60,7 @@
 func (LeastInFlight) policy() {}
 func (AtRandom) policy()      {}
 
-// balancer carries out a policy.
+// balancer runs a policy in a simulation. Its method submit is called for each request when it arrives.
 type balancer interface{ submit(j *job) }
 
 func newBalancer(s *simulation, p Policy) balancer {
@@ -73,7 +75,7 @@
 	return newDirectBalancer(s, 0)
 }
 
-// idealBalancer keeps one queue and starts requests where they end soonest.
+// idealBalancer runs Ideal. It starts each request on the server where it is expected to end first.
 type idealBalancer struct {
 	sim      *simulation
 	queue    []*job
@@ -85,7 +87,9 @@
 	b.dispatch()
 }
 
-// dispatch starts what can meet its goal; the rest waits until half of the slots are free.
+// dispatch starts queued requests that are expected to meet their goal. A request that can no longer meet it is started
+// only while at least half of all slots are free. Requests are refused at their deadlines. While requests are queued,
+// dispatch runs every millisecond.
 func (b *idealBalancer) dispatch() {
 	now := b.sim.now
 	remaining := b.queue[:0]
@@ -107,6 +111,7 @@
 	}
 }
 
+// tryStart starts the request and returns true, or returns false if the request must stay in the queue.
 func (b *idealBalancer) tryStart(j *job) bool {
 	best, shortest, freeSlots, slots := (*server)(nil), 0.0, 0, 0
 	for _, s := range b.sim.servers {
@@ -134,7 +139,7 @@
 	return true
 }
 
-// expectedServiceTime returns what a request of mean work would take if it started now, in seconds.
+// expectedServiceTime returns the time in seconds that a request of mean service time would take if it started now.
 func (s *server) expectedServiceTime() float64 {
 	t := s.sim.workload.ServiceTime.Seconds() * s.pace
 	if float64(len(s.running)+1) > s.sim.workload.NearlyFullShare*float64(s.sim.workload.Slots) {
@@ -146,10 +151,10 @@
 	return t
 }
 
-// directBalancer sends requests on at once, by own counts of each host, or at random without any.
+// directBalancer runs LeastInFlight and AtRandom.
 type directBalancer struct {
 	sim *simulation
-	// inFlight holds the requests in flight, by host and server.
+	// inFlight holds the number of requests in flight by host and server. It is empty for AtRandom.
 	inFlight [][]int
 }
 
@@ -178,6 +183,8 @@
 	})
 }
 
+// chooseServer returns the index of a server and a function to call once the request has ended. Of servers with equally
+// few requests in flight it takes the first one after a random start.
 func (b *directBalancer) chooseServer() (int, func()) {
 	first := b.sim.random.IntN(len(b.sim.servers))
 	if len(b.inFlight) == 0 {
@@ -194,19 +201,22 @@
 	return best, func() { inFlight[best]-- }
 }
 
-// Retry budget of the model's service.
+// Parameters of the simulated home.
 const (
+	// The retry budget allows hedges for 0.18 of the requests of the last 10 s, and 22 more.
 	retryBudgetRatio  = 0.18
 	retryBudgetSlack  = 22
 	retryBudgetWindow = 10 * time.Second
-	// homeTickInterval is how often the home's timers run.
+	// homeTickInterval is the period at which Home.Tick is called.
 	homeTickInterval = 10 * time.Millisecond
 )
 
-// homeBalancer drives a placement.Home over simulated travel.
+// homeBalancer runs Home. It simulates the messages between the entry hosts, the home and the servers, and their delays.
 type homeBalancer struct {
 	sim  *simulation
 	home *placement.Home
+	// jobs holds all requests by ID. runs holds the runs that servers accepted, by the ID of the request, until the first
+	// response.
 	jobs map[uint64]*job
 	runs map[uint64][]*run
 }
@@ -235,7 +245,7 @@
 	b.sim.schedule(homeTickInterval, b.tick)
 }
 
-// sendProbes sends the probes that are due.
+// sendProbes sends the health probes that are due.
 func (b *homeBalancer) sendProbes() {
 	for _, p := range b.home.Probes(b.sim.now) {
 		server := b.serverByName(p.Target)
@@ -264,14 +274,17 @@
 	b.sim.schedule(b.sim.workload.NetworkDelay, func() { b.requestPlacement(j, nil) })
 }
 
+// requestPlacement submits a request to the home.
 func (b *homeBalancer) requestPlacement(j *job, tried []string) {
 	b.home.Ask(b.sim.now, &placement.Request{
-		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: b.sim.workload.Repeatable, Tried: tried,
+		ID: placement.ID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline,
+		Repeatable: b.sim.workload.Repeatable, Tried: tried,
 	})
 	b.sendProbes()
 }
 
-// onVerdict carries a verdict to the host that asked.
+// onVerdict sends a verdict of the home to the host that submitted the request. The host then sends the request to the
+// target, which takes a second network delay.
 func (b *homeBalancer) onVerdict(r *placement.Request, v placement.Verdict) {
 	j := b.jobs[r.ID.Number]
 	switch v := v.(type) {
@@ -285,7 +298,7 @@
 	}
 }
 
-// send offers the request to the server, as the host does.
+// send hands a request to the target as the host does, unless it has been answered meanwhile.
 func (b *homeBalancer) send(j *job, target string) {
 	server := b.serverByName(target)
 	if j.finished {
@@ -314,7 +327,7 @@
 	b.runs[j.id] = append(b.runs[j.id], r)
 }
 
-// reportRunEnd reports the end of a run to the home.
+// reportRunEnd reports the end of a run to the home, which receives it after the network delay.
 func (b *homeBalancer) reportRunEnd(j *job, target string, outcome placement.Outcome, duration time.Duration, report *placement.Load) {
 	b.sim.schedule(b.sim.workload.NetworkDelay, func() {
 		b.home.Done(b.sim.now, placement.Done{ID: placement.ID{Number: j.id}, Target: target, Outcome: outcome, Took: duration, Load: report})
@@ -322,7 +335,7 @@
 	})
 }
 
-// cancelOthers closes the connections of runs that came second.
+// cancelOthers cancels the runs of a request other than the one that was answered first.
 func (b *homeBalancer) cancelOthers(j *job, winner *run) {
 	for _, r := range b.runs[j.id] {
 		if r == winner {
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -15,32 +15,36 @@
 	id             uint64
 	arrivedAt      time.Duration
 	goal, deadline time.Duration
-	serviceTime    float64
-	finished       bool
+	// serviceTime is the time in seconds that the request takes on an undisturbed server.
+	serviceTime float64
+	// finished is set once the caller has received a response or a refusal.
+	finished bool
 }
 
-// server is one backend server: so many slots and a short queue, on a machine that it shares with noisy neighbours.
+// server is a backend server. It runs a limited number of requests concurrently and queues a few more.
 type server struct {
-	sim     *simulation
-	name    string
-	index   int
+	sim   *simulation
+	name  string
+	index int
+	// pace is the factor by which noisy neighbours lengthen service times at present, at least 1.
 	pace    float64
 	running []*run
 	queued  []*run
 	fault   FaultKind
 }
 
-// run is one request at one server.
+// run is one attempt of a request on a server.
 type run struct {
 	job       *job
 	server    *server
 	startedAt time.Duration
 	finished  bool
-	// onResponse is told how the run ended, at the server and at its time.
+	// onResponse is called when the server sends the response, with true. Dropped and canceled runs do not call it.
 	onResponse func(answered bool)
 }
 
-// accept takes a run, or reports that it is full.
+// accept starts or queues a run. It returns false if all slots are in use and the queue, which holds two runs per slot,
+// is full.
 func (s *server) accept(r *run) bool {
 	r.server = s
 	switch {
@@ -54,7 +58,8 @@
 	return true
 }
 
-// start starts a run. What it takes is settled at its start, by the machine's pace and by how full the server is.
+// start starts a run. The pace, the occupied slots and the fault of the server at this time determine its duration; later
+// changes do not.
 func (s *server) start(r *run) {
 	workload := s.sim.workload
 	s.running = append(s.running, r)
@@ -69,7 +74,7 @@
 	s.sim.schedule(time.Duration(r.job.serviceTime*factor*float64(time.Second)), func() { s.finish(r) })
 }
 
-// finish finishes a run; a mute server loses every other answer.
+// finish ends a run and sends the response. A server with the fault Mute drops a share of the responses.
 func (s *server) finish(r *run) {
 	if r.finished {
 		return
@@ -82,7 +87,7 @@
 	s.release(r)
 }
 
-// cancel drops a run whose connection was closed.
+// cancel ends a run whose connection was closed by the host, and frees its slot.
 func (s *server) cancel(r *run) {
 	if r.finished {
 		return
@@ -91,6 +96,7 @@
 	s.release(r)
 }
 
+// release frees the slot or queue place of a run and starts queued runs.
 func (s *server) release(r *run) {
 	isRun := func(other *run) bool { return other == r }
 	s.queued = slices.DeleteFunc(s.queued, isRun)
@@ -102,12 +108,12 @@
 	}
 }
 
-// loadReport is what the server says of its load.
+// loadReport returns the load report that the server sends with responses and probes.
 func (s *server) loadReport() placement.Load {
 	return placement.Load{Running: len(s.running), Waiting: len(s.queued), Slots: s.sim.workload.Slots, Pace: s.pace}
 }
 
-// redrawPace draws a new pace again and again.
+// redrawPace draws a new pace and schedules the next draw after an exponentially distributed time.
 func (s *server) redrawPace() {
 	workload := s.sim.workload
 	s.pace = 1
@@ -127,7 +133,8 @@
 	return list
 }
 
-// drawServiceTime draws the time that a request takes at the usual pace.
+// drawServiceTime returns a random service time on an undisturbed server, in seconds. The term -sigma²/2 makes the mean
+// of the log-normal distribution equal to w.ServiceTime.
 func drawServiceTime(random *rand.Rand, w Workload) float64 {
 	return w.ServiceTime.Seconds() * math.Exp(w.ServiceTimeSigma*random.NormFloat64()-w.ServiceTimeSigma*w.ServiceTimeSigma/2)
 }
