--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,4 +1,5 @@
-// Package caller is a caller's side of the protocol: it asks for addresses, keeps the answer for a while and connects.
+// Package caller is an HTTP client for services behind briarcroft. It gets the addresses of the entry hosts to use for a
+// service from any entry host, caches them, sends requests to these hosts and retries where that is safe.
 package caller
 
 import (
@@ -25,77 +26,86 @@
 
 var namespace = errorx.NewNamespace("caller").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrNoAddress reports that no known entry host gave an address answer.
+// ErrNoAddress reports that no entry host returned addresses for a service.
 var ErrNoAddress = namespace.NewType("no_address")
 
-// ErrConnect reports a connection that could not be opened; nothing was sent.
+// ErrConnect reports that no connection could be opened, so that nothing was sent.
 var ErrConnect = namespace.NewType("refused")
 
-// ErrIncompleteResponse reports an answer that did not come whole.
+// ErrIncompleteResponse reports that a request was or may have been sent, but no complete response was received.
 var ErrIncompleteResponse = namespace.NewType("cut")
 
-// Numbers of the client.
 const (
-	maxAttempts       = 6
+	maxAttempts = 6
+	// defaultRetryDelay is the delay before a further attempt if the response has no Retry-After field.
 	defaultRetryDelay = 50 * time.Millisecond
-	addressTimeout    = time.Second
+	// addressTimeout limits a request for addresses.
+	addressTimeout = time.Second
 )
 
-// Config sets up a Client.
+// Config configures a Client.
 type Config struct {
-	// Seeds are addresses of entry hosts to ask first.
-	Seeds  []string
+	// Seeds are the addresses of entry hosts to ask while no addresses are known for a service, or none of them responds.
+	Seeds []string
+	// Domain is the failure domain of the client. Entry hosts take it into account when they list addresses.
 	Domain string
-	Seed   uint64
-	// Dial opens connections; nil means TCP.
+	// Seed is the seed of the random choices.
+	Seed uint64
+	// Dial opens connections. If it is nil, the client uses TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // Client sends requests to services through entry hosts. It is safe for concurrent use.
 type Client struct {
-	config           Config
-	transport        *http.Transport
-	mu               sync.Mutex
-	random           *rand.Rand
+	config    Config
+	transport *http.Transport
+	mu        sync.Mutex
+	random    *rand.Rand
+	// answersByService holds the newest address answer for each service.
 	answersByService map[string]cachedAnswer
-	// answersByHost holds the answers of single entry hosts, for their grants.
+	// answersByHost holds the newest address answer of each entry host that requests were sent to. Only its grant is used.
 	answersByHost map[string]cachedAnswer
 }
 
+// cachedAnswer is an address answer with the time at which it expires.
 type cachedAnswer struct {
 	address.Answer
 	expiresAt time.Time
 }
 
-// New returns a client and the function that closes its connections.
+// New returns a client and a function that closes its idle connections.
 func New(c Config) (*Client, func()) {
 	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true, DialContext: c.Dial}
-	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), answersByService: map[string]cachedAnswer{}, answersByHost: map[string]cachedAnswer{}}
+	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)),
+		answersByService: map[string]cachedAnswer{}, answersByHost: map[string]cachedAnswer{}}
 	return client, t.CloseIdleConnections
 }
 
-// Request is one request of a caller.
+// Request is a request to a service.
 type Request struct {
 	Service string
 	Method  string
 	Path    string
 	Body    []byte
-	// AtMostOnce asks that the request runs at most once.
+	// AtMostOnce is set if the request must not run more than once. It is then sent with an Idempotency-Key.
 	AtMostOnce bool
 }
 
-// Response is how a request ended.
+// Response is the response to the last attempt of a request.
 type Response struct {
-	Status  int
+	Status int
+	// Outcome says whether the request ran. It is empty if the response does not say so.
 	Outcome claim.Outcome
 	Header  http.Header
 	Body    []byte
-	// Key is the last Idempotency-Key used, and Keys all of them.
+	// IdempotencyKeys holds all keys that the request was sent with, the last one last.
 	IdempotencyKeys []string
-	Attempts        int
+	// Attempts is the number of times that the request was sent, or that sending it was tried.
+	Attempts int
 }
 
-// Addresses returns the address answer for a service, kept or fresh; errors are ErrNoAddress.
+// Addresses returns the entry hosts for a service, from the cache until they expire. If no entry host responds, it
+// returns the expired ones. Errors are ErrNoAddress.
 func (c *Client) Addresses(ctx context.Context, service string) (address.Answer, error) {
 	c.mu.Lock()
 	cached, found := c.answersByService[service]
@@ -121,7 +131,7 @@
 	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
-// hostsToAsk returns the hosts of the last answer and then the seeds, from a random place on.
+// hostsToAsk returns the hosts of the last answer, followed by the seeds, beginning with a random one.
 func (c *Client) hostsToAsk(last address.Answer) []string {
 	var list []string
 	for _, a := range last.Addresses {
@@ -133,7 +143,7 @@
 	return append(append(list, c.config.Seeds[offset:]...), c.config.Seeds[:offset]...)
 }
 
-// FetchAddresses asks one entry host for addresses; errors are ErrNoAddress.
+// FetchAddresses requests the entry hosts for a service from one entry host, past the cache. Errors are ErrNoAddress.
 func (c *Client) FetchAddresses(ctx context.Context, host, service string) (address.Answer, error) {
 	var answer address.Answer
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
@@ -149,7 +159,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return answer, ErrNoAddress.New("%s answered %s (%s)", host, response.Status, response.Header.Get(steering.HeaderReason))
+		return answer, ErrNoAddress.New("%s: got status %s (%s)", host, response.Status, response.Header.Get(steering.HeaderReason))
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, 1<<20)).Decode(&answer); err != nil {
 		return answer, ErrNoAddress.New("%s: %v", host, err)
@@ -157,6 +167,7 @@
 	return answer, nil
 }
 
+// expireAnswers makes the next attempt request new addresses for a service, and new grants.
 func (c *Client) expireAnswers(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,9 +178,9 @@
 	}
 }
 
-// Do sends a request until its outcome is known, as far as that is safe.
-// A request with Once keeps its key while it may have run, and takes a new one only when it was not run.
-// Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse.
+// Do sends a request and retries it, up to maxAttempts attempts, until its outcome is known. Retries of an AtMostOnce
+// request use the same Idempotency-Key while an earlier attempt may have run, and a new one after an attempt that
+// certainly did not run. Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse, for the last attempt.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	var response Response
 	var keysUsed []string
@@ -201,7 +212,8 @@
 	return response, err
 }
 
-// isFinal reports whether there is nothing to gain from sending again.
+// isFinal reports whether a retry cannot help: the request ran, or was refused with a status other than 503 and 409, or
+// it is an AtMostOnce request whose response was lost for good. All other requests may be retried.
 func isFinal(r Request, response Response) bool {
 	if response.Outcome == "" || response.Outcome == claim.Ran {
 		return true
@@ -212,7 +224,8 @@
 	return r.AtMostOnce && response.Header.Get(steering.HeaderReason) == string(claim.ReasonInterrupted)
 }
 
-// chooseHost chooses where to send, and a key for a request that has none yet.
+// chooseHost returns the address of the entry host for an attempt, and the Idempotency-Key: the given one or, if that is
+// empty and the request is AtMostOnce, a new one. Attempts go through the listed hosts in turn.
 func (c *Client) chooseHost(ctx context.Context, r Request, key string, attempt int) (string, string, error) {
 	answer, err := c.Addresses(ctx, r.Service)
 	if err != nil {
@@ -225,8 +238,9 @@
 	return host, fmt.Sprintf("%s.%s", c.grantFrom(ctx, host, r.Service, answer.Grant), c.newKeySuffix()), nil
 }
 
-// grantFrom returns a grant of the host that a request is sent to, so that no other host has to pass it on; or the given one
-// when that host does not answer. A grant is kept for as long as an address answer.
+// grantFrom returns a grant, the first part of an Idempotency-Key, that was issued by the host to which the request is
+// sent. With a grant of another host, the request would have to be forwarded to that one. If the host does not respond,
+// grantFrom returns the fallback. Grants are cached for the MaxAge of the address answer that they come with.
 func (c *Client) grantFrom(ctx context.Context, host, service, fallback string) string {
 	c.mu.Lock()
 	cached := c.answersByHost[host]
@@ -244,12 +258,14 @@
 	return answer.Grant
 }
 
+// newKeySuffix returns a random second part for an Idempotency-Key.
 func (c *Client) newKeySuffix() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strconv.FormatUint(c.random.Uint64(), 36)
 }
 
+// send sends a request once. The returned error is nil, ErrConnect or ErrIncompleteResponse.
 func (c *Client) send(ctx context.Context, r Request, host, key string) (Response, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+host+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
@@ -269,13 +285,15 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	result := Response{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
+	result := Response{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)),
+		Header: response.Header, Body: body}
 	if err != nil {
-		return result, ErrIncompleteResponse.New("%s cut its answer after %d bytes: %v", host, len(body), err)
+		return result, ErrIncompleteResponse.New("%s: response truncated after %d bytes: %v", host, len(body), err)
 	}
 	return result, nil
 }
 
+// retryDelay returns the delay before the next attempt, from the Retry-After field if there is one in seconds.
 func retryDelay(r Response) time.Duration {
 	if n, err := strconv.Atoi(r.Header.Get("Retry-After")); err == nil && n > 0 {
 		return time.Duration(n) * time.Second
@@ -283,6 +301,7 @@
 	return defaultRetryDelay
 }
 
+// sleep waits for a duration. It returns false if ctx is done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -59,7 +59,7 @@
 }
 
 func (c *measureCommand) control() error {
-	list, err := measure.MeasureIdle(context.Background(), c.Hosts, c.Length)
+	list, err := measure.RunIdle(context.Background(), c.Hosts, c.Length)
 	if err != nil {
 		return err
 	}
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -7,21 +7,24 @@
 	"briarcroft/internal/entry"
 )
 
-// IdleUsage is what one idle host spends on control, per second.
+// IdleUsage is the resource usage of an entry host that serves no requests: the overhead of health probes, heartbeats and
+// other control traffic.
 type IdleUsage struct {
 	Host string
-	// CoreShare is the share of one core.
+	// CoreShare is the processor time used, as a share of one core.
 	CoreShare float64
-	// SentPerSec and ReceivedPerSec are bytes of the host's own calls to peers.
+	// SentPerSec and ReceivedPerSec are the bytes per second of the calls that the host made to peers. Calls that peers made
+	// to it are not included.
 	SentPerSec     float64
 	ReceivedPerSec float64
-	HeapBytes      uint64
-	SystemBytes    uint64
-	Goroutines     int
+	// HeapBytes is the live heap and SystemBytes all memory obtained from the operating system, at the end.
+	HeapBytes   uint64
+	SystemBytes uint64
+	Goroutines  int
 }
 
-// MeasureIdle watches hosts for a while without sending anything; errors are ErrNoStatus.
-func MeasureIdle(ctx context.Context, hosts []string, duration time.Duration) ([]IdleUsage, error) {
+// RunIdle measures the usage of hosts over a duration, during which it sends them no requests. Errors are ErrNoStatus.
+func RunIdle(ctx context.Context, hosts []string, duration time.Duration) ([]IdleUsage, error) {
 	before := make([]entry.ProcessStatus, len(hosts))
 	for i, host := range hosts {
 		var err error
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -1,4 +1,5 @@
-// Package measure sends load to a running entry host and reads what the host spent on it.
+// Package measure is a load generator for a running entry host. It measures the latency that the host adds to that of a
+// backend server, and the processor time and memory that the host uses.
 package measure
 
 import (
@@ -19,43 +20,49 @@
 
 var namespace = errorx.NewNamespace("measure").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrNoStatus reports a host that gave no figures.
+// ErrNoStatus reports that the status of a host could not be read.
 var ErrNoStatus = namespace.NewType("host")
 
-// Config says what to measure.
+// Config configures a measurement.
 type Config struct {
-	// EntryHost is an entry host's address and Direct a backend server's.
+	// EntryHost is the address of the entry host, and Backend that of a backend server to compare with.
 	EntryHost string
 	Backend   string
-	Path      string
-	// Duration is how long each rate is held.
+	// Path is the path of the requests.
+	Path string
+	// Duration is how long requests are sent at each rate, first to the backend server and then to the entry host.
 	Duration time.Duration
-	Seed     uint64
+	// Seed is the seed of the random times between requests.
+	Seed uint64
 }
 
-// Latency is the time to a whole answer, in microseconds.
+// Latency holds quantiles of the time until a response was complete, in microseconds. Count is the number of responses
+// with status 200 that they cover, Failed that of all other requests.
 type Latency struct {
 	P50, P99, P999 int64
 	Count          int64
 	Failed         int64
 }
 
-// Step is what one rate gave, through the host and direct.
+// Step is the result of the measurement at one rate.
 type Step struct {
-	Rate    int
+	// Rate is in requests per second.
+	Rate int
+	// Direct is the latency of requests sent to the backend server, and Through that of requests sent to the entry host.
 	Direct  Latency
 	Through Latency
-	// CorePerRequest is the host's processor time for one request.
+	// CorePerRequest is the processor time that the host used per request.
 	CorePerRequest time.Duration
-	// AllocationsPerRequest counts the host's allocations.
+	// AllocationsPerRequest is the number of heap objects that the host allocated per request.
 	AllocationsPerRequest float64
-	HeapBytes             uint64
+	// HeapBytes is the live heap of the host after the measurement.
+	HeapBytes uint64
 }
 
-// maxConnections is how many connections a load keeps open at the most.
+// maxConnections limits the open connections to the entry host or backend server.
 const maxConnections = 256
 
-// Run holds one rate, first direct and then through the host; errors are ErrNoStatus.
+// Run measures at one rate, in requests per second. Errors are ErrNoStatus.
 func Run(ctx context.Context, c Config, rate int) (Step, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxConnections, MaxConnsPerHost: maxConnections, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -77,7 +84,7 @@
 	return step, nil
 }
 
-// processStatus reads what a host's process has used.
+// processStatus returns the resource usage of the process of a host.
 func processStatus(ctx context.Context, host string) (entry.ProcessStatus, error) {
 	client, closeClient := operator.New(operator.Config{Hosts: []string{host}, Timeout: 5 * time.Second})
 	defer closeClient()
@@ -88,7 +95,8 @@
 	return status.Status.Process, nil
 }
 
-// sendLoad sends a Poisson stream; each latency counts from the instant at which the request was due.
+// sendLoad sends requests to an address as a Poisson process. A latency is measured from the time at which the request
+// was due, not sent, so that delays in sending it count as well (no coordinated omission).
 func sendLoad(ctx context.Context, transport *http.Transport, c Config, address string, rate int) Latency {
 	random := rand.New(rand.NewPCG(c.Seed, uint64(rate)))
 	histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
@@ -110,7 +118,7 @@
 				failed++
 				return
 			}
-			// The run is shorter than what the histogram holds.
+			// RecordValue fails above a minute, which is longer than a measurement is expected to take.
 			_ = histogram.RecordValue(max(1, latency.Microseconds()))
 		})
 	}
@@ -120,10 +128,10 @@
 	}
 }
 
-// spinDuration is the last part of a wait that is spent awake, since timers are late by up to a millisecond.
+// spinDuration is the last part of a wait that is spent in a busy loop, because timers fire up to a millisecond late.
 const spinDuration = 1500 * time.Microsecond
 
-// sleepUntil waits for an instant more exactly than a timer does.
+// sleepUntil waits until a time, more exactly than a timer does.
 func sleepUntil(ctx context.Context, until time.Time) {
 	sleep(ctx, time.Until(until)-spinDuration)
 	for time.Now().Before(until) {
@@ -131,7 +139,7 @@
 	}
 }
 
-// sleep sleeps unless the time has come already.
+// sleep waits for a duration or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -142,6 +150,7 @@
 	}
 }
 
+// sendRequest reports whether a complete response with status 200 was received.
 func sendRequest(ctx context.Context, transport *http.Transport, url string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
