--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,6 @@
-// Package demo runs a whole deployment in one process on loopback and checks that nothing is lost, doubled or cut.
+// Package demo runs a complete deployment of entry hosts, backend servers and callers in one process over loopback, and
+// checks that no request is lost, run twice or answered with a truncated response. While callers send requests, it
+// publishes a configuration change and stops an entry host. A note is one revision of the configuration.
 package demo
 
 import (
@@ -25,29 +27,33 @@
 
 var namespace = errorx.NewNamespace("demo").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrCheckFailed reports that a request was lost, doubled or cut, or that a note is not in force.
+// ErrCheckFailed reports that a request was lost, run twice or answered with a truncated response, or that a note did not
+// come into force on all entry hosts.
 var ErrCheckFailed = namespace.NewType("broken_promise")
 
-// Numbers of the demo.
 const (
 	callersPerDomain = 4
-	readyTimeout     = 15 * time.Second
+	// readyTimeout limits the wait for a note to come into force on all hosts.
+	readyTimeout = 15 * time.Second
+	// serviceTimeSigma is the standard deviation of the natural logarithm of service times.
 	serviceTimeSigma = 0.4
 )
 
-// Config sets up a run.
+// Config configures a run of the demo.
 type Config struct {
 	Deployment Deployment
-	// Duration is how long callers send.
+	// Duration is how long callers send requests.
 	Duration time.Duration
-	// RateFactor multiplies every rate.
+	// RateFactor multiplies the request rates of all workloads.
 	RateFactor float64
-	Seed       uint64
-	Out        io.Writer
-	Logger     zerolog.Logger
+	// Seed is the seed of all random numbers of callers and backend servers.
+	Seed uint64
+	// Out receives the progress and the results, and Logger the log records of the entry hosts.
+	Out    io.Writer
+	Logger zerolog.Logger
 }
 
-// fleet is everything that a run started.
+// fleet holds the entry hosts, backend servers and callers of a run, and the in-memory store that they use.
 type fleet struct {
 	config     Config
 	store      *standin.Standin
@@ -58,17 +64,18 @@
 	targets    map[string]*Target
 	hosts      []*runningHost
 	callers    []*caller.Client
-	cleanups   []func()
+	// cleanups are run in reverse order at the end.
+	cleanups []func()
 }
 
-// runningHost is one entry host of the run.
+// runningHost is an entry host of the run. stop makes it stop gracefully, and done then receives the result of Serve.
 type runningHost struct {
 	host *entry.Host
 	stop context.CancelFunc
 	done chan error
 }
 
-// Run runs a deployment and returns ErrBroken if a promise was broken.
+// Run runs a deployment and prints the results. It returns ErrCheckFailed if a check failed.
 func Run(ctx context.Context, c Config) error {
 	f := &fleet{config: c, runCounter: NewRunCounter(), targets: map[string]*Target{}}
 	defer f.close()
@@ -106,6 +113,7 @@
 	}
 }
 
+// start starts all parts of the deployment and publishes the first note, then waits until it is in force on all hosts.
 func (f *fleet) start(ctx context.Context) error {
 	if err := f.startPlatform(); err != nil {
 		return err
@@ -130,6 +138,7 @@
 	return nil
 }
 
+// startPlatform starts the in-memory store and host list and connects to them.
 func (f *fleet) startPlatform() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,7 +149,7 @@
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(listener) }()
 	f.cleanups = append(f.cleanups, func() {
-		// The server is this run's own.
+		// An error does no harm, because nothing but this run uses the server.
 		_ = server.Close()
 		<-done
 	})
@@ -155,8 +164,9 @@
 	for _, workload := range f.config.Deployment.Workloads {
 		for i := range workload.Targets {
 			t, stop, err := NewTarget(TargetConfig{
-				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: workload.ServiceTime, ServiceTimeSigma: serviceTimeSigma,
-				ResponseBytes: workload.ResponseBytes, RunCounter: f.runCounter, Seed: f.config.Seed + uint64(len(f.targets)),
+				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: workload.ServiceTime,
+				ServiceTimeSigma: serviceTimeSigma,
+				ResponseBytes:    workload.ResponseBytes, RunCounter: f.runCounter, Seed: f.config.Seed + uint64(len(f.targets)),
 			})
 			if err != nil {
 				return err
@@ -168,6 +178,7 @@
 	return nil
 }
 
+// startHosts starts the entry hosts. The first two are the seed peers of all later ones.
 func (f *fleet) startHosts() error {
 	var seeds []string
 	for i := range f.config.Deployment.Hosts {
@@ -180,7 +191,8 @@
 		s.Limits.AddressMaxAge = time.Second
 		list, closeList := platform.NewHostList(platform.HostListConfig{URL: f.storeURL + "/Hosts", Timeout: time.Second})
 		store, closeStore := platform.NewEtcd(platform.EtcdConfig{URL: f.storeURL, Timeout: time.Second})
-		h, closeHost, err := entry.New(entry.Config{Settings: s, Logger: f.config.Logger.With().Str("Host", s.Host.Name).Logger(), Store: store, HostList: list})
+		h, closeHost, err := entry.New(entry.Config{Settings: s, Logger: f.config.Logger.With().Str("Host", s.Host.Name).Logger(),
+			Store: store, HostList: list})
 		if err != nil {
 			return err
 		}
@@ -202,13 +214,15 @@
 		seeds = append(seeds, r.host.Listen())
 	}
 	for i := range callersPerDomain * len(f.config.Deployment.Domains) {
-		c, closeCaller := caller.New(caller.Config{Seeds: seeds, Domain: f.config.Deployment.Domains[i%len(f.config.Deployment.Domains)], Seed: f.config.Seed + uint64(i)})
+		c, closeCaller := caller.New(caller.Config{Seeds: seeds, Domain: f.config.Deployment.Domains[i%len(f.config.Deployment.Domains)],
+			Seed: f.config.Seed + uint64(i)})
 		f.callers = append(f.callers, c)
 		f.cleanups = append(f.cleanups, closeCaller)
 	}
 }
 
-// awaitNote returns once a note is in force on every host that is not stopped.
+// awaitNote waits until all hosts that were not stopped are ready and have the note, or a later one, in force. It returns
+// ErrCheckFailed if this takes longer than readyTimeout.
 func (f *fleet) awaitNote(ctx context.Context, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -230,7 +244,8 @@
 	}
 }
 
-// runEvents publishes a second note that withdraws a target and stops an entry host gracefully, under load.
+// runEvents changes the deployment while callers send requests: it publishes a second note that withdraws a target,
+// counts the requests that this target gets once the note is in force, and stops an entry host gracefully.
 func (f *fleet) runEvents(ctx context.Context, res *results) error {
 	if !sleep(ctx, f.config.Duration*3/10) {
 		return nil
@@ -259,7 +274,8 @@
 	return f.stopHost(ctx, res)
 }
 
-// stopHost stops the first home of the busiest service gracefully.
+// stopHost gracefully stops the first home of the first service, which has the highest request rate. A home is an entry
+// host that places the requests of a service.
 func (f *fleet) stopHost(ctx context.Context, res *results) error {
 	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
 	if err != nil {
@@ -281,12 +297,14 @@
 	return nil
 }
 
+// printProgress prints the number of requests every second until ctx is done.
 func (f *fleet) printProgress(ctx context.Context, res *results) {
 	for sleep(ctx, time.Second) {
 		fmt.Fprintf(f.config.Out, "  %d requests answered\n", res.requestCount())
 	}
 }
 
+// sleep waits for a duration. It returns false if ctx is done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -296,7 +314,7 @@
 	}
 }
 
-// sendRequests sends one service's requests as a Poisson stream and waits for all answers.
+// sendRequests sends the requests of one service as a Poisson process until ctx is done, then waits for all responses.
 func (f *fleet) sendRequests(ctx context.Context, workload Workload, res *results) {
 	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(workload.Service))))
 	var group sync.WaitGroup
@@ -311,11 +329,12 @@
 	}
 }
 
-// sendRequest sends one request and checks its answer against what the targets did.
+// sendRequest sends the i-th request of a service and records its outcome.
 func (f *fleet) sendRequest(client *caller.Client, workload Workload, i int, res *results) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r := caller.Request{Service: workload.Service, Method: workload.Method, Path: fmt.Sprintf("%s%d", workload.Path, i), AtMostOnce: workload.AtMostOnce}
+	r := caller.Request{Service: workload.Service, Method: workload.Method, Path: fmt.Sprintf("%s%d", workload.Path, i),
+		AtMostOnce: workload.AtMostOnce}
 	if workload.AtMostOnce {
 		r.Body = fmt.Appendf(nil, "%s %d", workload.Service, i)
 	}
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -6,31 +6,40 @@
 	"time"
 )
 
-// Workload is one service of a deployment with the traffic that its callers send.
+// Workload is a service of a deployment and the requests that callers send to it.
 type Workload struct {
-	Service       string
-	Class         string
-	Method        string
-	Path          string
-	Targets       int
-	AtMostOnce    bool
-	Weight        int
+	Service string
+	// Class is the class of the requests, by which the results are grouped.
+	Class  string
+	Method string
+	// Path is the prefix of the paths; the number of the request follows.
+	Path string
+	// Targets is the number of backend servers.
+	Targets int
+	// AtMostOnce is set if a request must not run more than once.
+	AtMostOnce bool
+	// Weight is the weight of the class in the configuration.
+	Weight int
+	// ServiceTime is the mean service time of a request.
 	ServiceTime   time.Duration
 	ResponseBytes int
 	// Rate is in requests per second.
 	Rate float64
 }
 
-// Deployment is one of the firms' systems as it is today.
+// Deployment describes a system to run. It has the size and the services of a production system.
 type Deployment struct {
-	Name      string
-	Domains   []string
-	Hosts     int
+	Name string
+	// Domains are the names of the failure domains. Entry hosts, targets and callers are spread over them evenly.
+	Domains []string
+	// Hosts is the number of entry hosts.
+	Hosts int
+	// Slots is the number of requests that each target runs concurrently.
 	Slots     int
 	Workloads []Workload
 }
 
-// Deployments lists the deployments that the demo knows.
+// Deployments lists the deployments that the demo can run.
 var Deployments = []Deployment{
 	{
 		Name: "stalverk", Domains: []string{"oslo", "bergen", "trondheim"}, Hosts: 13, Slots: 4,
@@ -52,7 +61,8 @@
 	},
 }
 
-// FirstNote returns the text of a deployment's first note; addresses holds the targets' addresses by name.
+// FirstNote returns the text of the note with the initial configuration of the deployment. The function addresses returns
+// the address of the target with a name.
 func (d Deployment) FirstNote(addresses func(target string) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[Note]\nFollows = 0\nOperator = demo\nReason = first note of %s\n", d.Name)
@@ -69,5 +79,5 @@
 	return b.String()
 }
 
-// TargetName returns the name of a service's target by number.
+// TargetName returns the name of a target of a service. Targets are numbered from 0, and their names from 1.
 func TargetName(service string, number int) string { return fmt.Sprintf("%s-%d", service, number+1) }
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -16,18 +16,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is what became of one request.
+// outcome is the outcome of a request.
 type outcome int
 
 const (
+	// completed means that the expected response was received.
 	completed outcome = iota
+	// notRun means that the request was refused and did not run.
 	notRun
+	// lost means that the request ended with an error or an unexpected response, or that no target ran it although it was
+	// answered.
 	lost
+	// duplicated means that a request which must run at most once ran more than once. It is printed as Doubled.
 	duplicated
+	// truncated means that the body differs from the expected one. It is printed as Cut.
 	truncated
 )
 
-// classify compares an answer with what the targets did.
+// classify determines the outcome of a request from its response and from how often targets ran it.
 func (f *fleet) classify(workload Workload, r caller.Request, response caller.Response, err error) outcome {
 	runs := 0
 	for _, key := range response.IdempotencyKeys {
@@ -50,30 +56,38 @@
 	return lost
 }
 
-// results is what a run counted.
+// results holds the counts and times of a run.
 type results struct {
-	mu                      sync.Mutex
-	classes                 map[string]*classResults
-	noteDelay               time.Duration
+	mu      sync.Mutex
+	classes map[string]*classResults
+	// noteDelay is the time from the publication of note 2 until it was in force on all hosts.
+	noteDelay time.Duration
+	// requestsAfterWithdrawal is the number of requests that the withdrawn target received after that.
 	requestsAfterWithdrawal int64
-	stopDuration            time.Duration
+	// stopDuration is how long an entry host took to stop gracefully.
+	stopDuration time.Duration
 }
 
+// classResults holds the results of one class of requests.
 type classResults struct {
-	counts       [truncated + 1]int64
-	retries      int64
+	// counts is indexed by outcome.
+	counts  [truncated + 1]int64
+	retries int64
+	// latency is the latency of responses, and addedLatency that without the time spent at the target, in microseconds.
 	latency      *hdrhistogram.Histogram
 	addedLatency *hdrhistogram.Histogram
 }
 
 func newResults() *results { return &results{classes: map[string]*classResults{}} }
 
+// record adds the outcome of a request to the results of its class.
 func (r *results) record(workload Workload, response caller.Response, err error, latency time.Duration, o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.classes[workload.Class]
 	if c == nil {
-		c = &classResults{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		c = &classResults{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+			addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 		r.classes[workload.Class] = c
 	}
 	c.counts[o]++
@@ -81,13 +95,14 @@
 	if err != nil {
 		return
 	}
-	// Latencies above a minute end the run before they are recorded.
+	// RecordValue fails above a minute, which latencies do not reach, since requests time out after 10 s.
 	_ = c.latency.RecordValue(latency.Microseconds())
 	if runTime, err := strconv.ParseInt(response.Header.Get(runHeader), 10, 64); err == nil {
 		_ = c.addedLatency.RecordValue(max(1, latency.Microseconds()-runTime))
 	}
 }
 
+// requestCount returns the number of requests that have ended, whatever their outcome.
 func (r *results) requestCount() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +115,7 @@
 	return sum
 }
 
-// printResults prints the table and returns ErrBroken if a promise was broken.
+// printResults prints the results and returns ErrCheckFailed if a check failed.
 func (f *fleet) printResults(res *results) error {
 	res.mu.Lock()
 	defer res.mu.Unlock()
@@ -116,7 +131,8 @@
 		requests += sum
 		failures += c.counts[lost] + c.counts[duplicated] + c.counts[truncated]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, sum, c.counts[completed], c.counts[notRun],
-			c.counts[lost], c.counts[duplicated], c.counts[truncated], c.retries, formatQuantile(c.latency, 50), formatQuantile(c.latency, 99), formatQuantile(c.latency, 99.9),
+			c.counts[lost], c.counts[duplicated], c.counts[truncated], c.retries,
+			formatQuantile(c.latency, 50), formatQuantile(c.latency, 99), formatQuantile(c.latency, 99.9),
 			formatQuantile(c.addedLatency, 50), formatQuantile(c.addedLatency, 99))
 	}
 	if err := table.Flush(); err != nil {
@@ -127,15 +143,15 @@
 		probes += target.Probes.Load()
 	}
 	fmt.Fprintf(f.config.Out, "probes per request %.4f; keys run twice %d; requests to the withdrawn target after note 2 was in force %d\n",
-		float64(probes)/float64(max(1, requests)), f.runCounter.DuplicateRuns(), res.requestsAfterWithdrawal)
+		float64(probes)/float64(max(1, requests)), f.runCounter.DuplicatedKeys(), res.requestsAfterWithdrawal)
 	for _, r := range f.hosts {
 		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.Number())
 		if r.host.Number() != 2 {
 			failures++
 		}
 	}
-	if failures > 0 || f.runCounter.DuplicateRuns() > 0 || res.requestsAfterWithdrawal > 0 {
-		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or a host lags; see the table", failures)
+	if failures > 0 || f.runCounter.DuplicatedKeys() > 0 || res.requestsAfterWithdrawal > 0 {
+		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or hosts do not have note 2 in force; see the table", failures)
 	}
 	fmt.Fprintln(f.config.Out, "0 lost, 0 doubled, 0 cut")
 	return nil
@@ -150,6 +166,7 @@
 	return names
 }
 
+// formatQuantile returns a quantile of a histogram in microseconds, as milliseconds.
 func formatQuantile(h *hdrhistogram.Histogram, q float64) string {
 	return strconv.FormatFloat(float64(h.ValueAtQuantile(q))/1000, 'f', 2, 64)
 }
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -16,16 +16,17 @@
 	"briarcroft/internal/steering"
 )
 
-// runHeader tells how long a target took, in microseconds, so that the added latency can be told apart.
+// runHeader is the response header field with the time that the request spent at the target, waiting and running, in
+// microseconds. Callers subtract it from the latency to get the latency that the load balancer adds.
 const runHeader = "Run-Microseconds"
 
-// RunCounter counts how often each keyed request was run, over all targets.
+// RunCounter counts how often each request with an Idempotency-Key was run, over all targets that share the counter.
 type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewRunCounter returns an empty ledger.
+// NewRunCounter returns a counter without runs.
 func NewRunCounter() *RunCounter { return &RunCounter{runs: map[string]int{}} }
 
 func (c *RunCounter) add(key string) {
@@ -34,15 +35,15 @@
 	c.runs[key]++
 }
 
-// Runs returns how often the request with a key was run.
+// Runs returns the number of runs of the request with a key.
 func (c *RunCounter) Runs(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runs[key]
 }
 
-// DuplicateRuns returns how many keys were run more than once.
-func (c *RunCounter) DuplicateRuns() int {
+// DuplicatedKeys returns how many keys were run more than once.
+func (c *RunCounter) DuplicatedKeys() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -54,20 +55,26 @@
 	return n
 }
 
-// TargetConfig sets up a sample backend server.
+// TargetConfig configures a sample backend server.
 type TargetConfig struct {
+	// Listen is the address to listen on.
 	Listen string
-	Slots  int
-	// ServiceTime is the mean time of a run and Spread the standard deviation of its logarithm.
+	// Slots is the number of requests that run concurrently. Further requests wait.
+	Slots int
+	// ServiceTime is the mean service time. Service times are log-normal, and ServiceTimeSigma is the standard deviation of
+	// their natural logarithm.
 	ServiceTime      time.Duration
 	ServiceTimeSigma float64
-	// ResponseBytes is the size of an answer.
+	// ResponseBytes is the size of a response body.
 	ResponseBytes int
-	RunCounter    *RunCounter
-	Seed          uint64
+	// RunCounter counts the runs of requests with an Idempotency-Key. It may be nil.
+	RunCounter *RunCounter
+	// Seed is the seed of the random service times.
+	Seed uint64
 }
 
-// Target is a sample backend server: it runs requests in slots, reports its load and drains when asked.
+// Target is a sample backend server. It runs a limited number of requests concurrently by sleeping for a random service
+// time, and reports its load and whether it is draining.
 type Target struct {
 	config   TargetConfig
 	listener net.Listener
@@ -77,33 +84,36 @@
 	draining atomic.Bool
 	mu       sync.Mutex
 	random   *rand.Rand
+	// Requests and Probes count the requests and the health probes received.
 	Requests atomic.Int64
 	Probes   atomic.Int64
-	done     chan error
+	// done receives the error with which the HTTP server ends.
+	done chan error
 }
 
-// NewTarget starts a sample backend server and returns the function that stops it.
+// NewTarget starts a sample backend server. It returns the server and a function that stops it.
 func NewTarget(c TargetConfig) (*Target, func(), error) {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, nil, err
 	}
 	t := &Target{
-		config: c, listener: listener, slots: make(chan struct{}, c.Slots), random: rand.New(rand.NewPCG(c.Seed, 4)), done: make(chan error, 1),
+		config: c, listener: listener, slots: make(chan struct{}, c.Slots), random: rand.New(rand.NewPCG(c.Seed, 4)),
+		done: make(chan error, 1),
 	}
 	t.server = &http.Server{Handler: t, ReadHeaderTimeout: 5 * time.Second}
 	go func() { t.done <- t.server.Serve(listener) }()
 	return t, func() {
-		// The listener is this target's own; there is nothing to do about an error.
+		// An error does no harm, because nothing else uses the listener.
 		_ = t.server.Close()
 		<-t.done
 	}, nil
 }
 
-// Address returns where the target listens.
+// Address returns the address on which the target listens.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// Drain makes the target report that it is leaving.
+// Drain makes the target report that it is draining, that is, that it should get no new requests.
 func (t *Target) Drain() { t.draining.Store(true) }
 
 // ServeHTTP implements http.Handler.
@@ -132,10 +142,11 @@
 	response := ExpectedResponse(r.URL.Path, body, t.config.ResponseBytes)
 	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
 	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.Itoa(len(response))))
-	// The entry host went away if this fails.
+	// Write fails if the entry host has closed the connection; then nobody needs the response.
 	_, _ = w.Write(response)
 }
 
+// writeLoadHeaders sets the header fields of a load report.
 func (t *Target) writeLoadHeaders(w http.ResponseWriter) {
 	w.Header().Set(steering.HeaderLoad, strconv.FormatInt(t.inFlight.Load(), 10))
 	if t.draining.Load() {
@@ -143,6 +154,8 @@
 	}
 }
 
+// drawServiceTime returns a random service time. The term -sigma²/2 makes the mean of the log-normal distribution
+// equal to the configured one.
 func (t *Target) drawServiceTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,10 +163,10 @@
 	return time.Duration(factor * float64(t.config.ServiceTime))
 }
 
-// ExpectedResponseResponse returns the whole answer to a request, which its caller can check.
+// ExpectedResponse returns the body of the response to a request, so that a caller can check what it received.
 func ExpectedResponse(path string, body []byte, size int) []byte {
 	h := fnv.New64a()
-	// A hash never fails to write.
+	// Write of a hash never returns an error.
 	_, _ = h.Write([]byte(path))
 	_, _ = h.Write(body)
 	pattern := fmt.Sprintf("%s %016x\n", path, h.Sum64())
