--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -1,5 +1,6 @@
-// Package report writes one HTML page for the monitor: the chain of notes, every host, when each target could get
-// requests and why not, latencies by class, and what measuring cost.
+// Package report writes an HTML page for monitoring. The page shows the chain of notes (a note is one revision of the
+// configuration), the state of every entry host, when each target was eligible for requests and why not, request counts
+// and latencies by class, and the cost of health probes and other measurements.
 package report
 
 import (
@@ -12,33 +13,41 @@
 	"briarcroft/internal/steering"
 )
 
-// Source is everything that a page is made from.
+// Source is the data that a page shows.
 type Source struct {
-	Made         time.Time
-	Stretch      record.Stretch
+	// Made is the time at which the data was collected.
+	Made time.Time
+	// Stretch is the period that the page covers.
+	Stretch record.Stretch
+	// Verification is the result of the check of the chain of notes and of the hosts' agreement with it.
 	Verification operator.Verification
-	Hosts        []operator.HostStatus
-	Explanation  operator.Explanation
+	// Hosts holds the status of each entry host.
+	Hosts []operator.HostStatus
+	// Explanation holds the event records of all hosts.
+	Explanation operator.Explanation
 }
 
-// page is a Source arranged for the template.
+// page is the data of the template: a Source and what is derived from it for the tables and plots.
 type page struct {
 	Source
+	// Notes holds the records of applied and rejected notes.
 	Notes     []record.Record
 	Services  []service
 	Latencies []latency
 	Counts    []count
 	Budgets   []budget
-	Events    []record.Record
+	// Events holds all other records except those of targets, which the plots show.
+	Events []record.Record
 }
 
-// service is the plot of one service's targets.
+// service is the plot of the states of a service's targets over time.
 type service struct {
 	Name string
 	Plot plot
 }
 
-// latency is one class of one service on one host, with the plot's bars; times are in milliseconds.
+// latency is the latency of one class of a service on one host, in milliseconds. Bar50 and Bar99 are the widths of the
+// bars for P50 and P99, in pixels.
 type latency struct {
 	Host, Service, Class string
 	Count                int64
@@ -46,13 +55,14 @@
 	Bar50, Bar99         float64
 }
 
-// count sums the weighted counts of one class and failure domain over all hosts.
+// count holds the request counts of one class of a service and one failure domain, summed over all hosts.
 type count struct {
 	Service string
 	steering.CountStatus
 }
 
-// budget is what measuring cost on one host in one failure domain.
+// budget holds the cost of measurements that a host made in one failure domain: the probes sent, the bytes transferred
+// and the measurements that the measuring budget did not permit. AllowedProbes and AllowedBytes are the limits per second.
 type budget struct {
 	Host, Domain          string
 	Probes, Bytes, Denied int64
@@ -60,7 +70,7 @@
 	AllowedBytes          float64
 }
 
-// newPage makes a page of a source.
+// newPage returns the page for a source.
 func newPage(s Source) page {
 	p := page{Source: s}
 	for _, r := range s.Explanation.Records {
@@ -79,7 +89,7 @@
 	return p
 }
 
-// services plots the targets of every service that the records name.
+// services returns a plot for each service with records of targets, sorted by name.
 func services(s Source) []service {
 	serviceOf := map[string]string{}
 	for _, r := range s.Explanation.Records {
@@ -99,6 +109,7 @@
 	return list
 }
 
+// latencies returns the latencies of all hosts. The highest P99 gets the longest bar.
 func latencies(hosts []operator.HostStatus) []latency {
 	var list []latency
 	var longest int64 = 1
@@ -119,11 +130,12 @@
 	return list
 }
 
-// maxBarWidth is the width of the longest latency bar, in pixels.
+// maxBarWidth is the width of the bar of the highest P99 latency, in pixels.
 const maxBarWidth = 240
 
 func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
 
+// counts returns the request counts summed over all hosts, sorted by service, class and failure domain.
 func counts(hosts []operator.HostStatus) []count {
 	type key struct{ service, class, domain string }
 	sums := map[key]*count{}
@@ -151,6 +163,7 @@
 	return list
 }
 
+// budgets returns the cost of measurements of all hosts, sorted by host and failure domain.
 func budgets(hosts []operator.HostStatus) []budget {
 	var list []budget
 	for _, h := range hosts {
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -9,32 +9,34 @@
 	"briarcroft/internal/record"
 )
 
-// Sizes of a plot, in pixels.
+// Layout of a plot. Sizes are in pixels.
 const (
-	plotWidth     = 720
-	rowHeight     = 16
-	labelWidth    = 260
-	axisHeight    = 24
-	minBarWidth   = 1.0
+	plotWidth   = 720
+	rowHeight   = 16
+	labelWidth  = 260
+	axisHeight  = 24
+	minBarWidth = 1.0
+	// axisMarkCount is the number of times shown on the axis.
 	axisMarkCount = 6
 )
 
-// plot is a timeline drawn as rows of bars.
+// plot is a timeline with a row of bars for each target and host. All positions and sizes are in pixels.
 type plot struct {
 	Width, Height int
 	Rows          []row
 	Marks         []mark
 }
 
-// row is one target on one host.
+// row is the timeline of one target as one host saw it.
 type row struct {
 	Label string
-	// LabelX and TextY place the label.
+	// LabelX and TextY are the position of the end of the label.
 	LabelX, TextY int
 	Bars          []bar
 }
 
-// bar is one interval.
+// bar is an interval in which the target had one state. Class is the CSS class, which is the name of the state, and Title
+// is the tooltip.
 type bar struct {
 	X, Width  float64
 	Y, Height int
@@ -42,13 +44,13 @@
 	Title     string
 }
 
-// mark is one time on the axis.
+// mark is a time label on the axis.
 type mark struct {
 	X    float64
 	Text string
 }
 
-// newPlot draws intervals over a stretch; rows are sorted by target and host.
+// newPlot returns the plot of intervals over a period, with rows sorted by target and host.
 func newPlot(intervals []record.Interval, s record.Stretch) plot {
 	type rowKey struct{ target, host string }
 	rows := map[rowKey][]record.Interval{}
@@ -74,7 +76,7 @@
 	return p
 }
 
-// newBar draws one interval in row n; even the shortest one can be seen.
+// newBar returns the bar of an interval in row n. It is at least minBarWidth wide, so that short intervals stay visible.
 func newBar(i record.Interval, s record.Stretch, scale float64, n int) bar {
 	return bar{
 		X: labelWidth + i.From.Sub(s.From).Seconds()*scale, Width: max(minBarWidth, i.Length().Seconds()*scale),
@@ -83,9 +85,10 @@
 	}
 }
 
-// timeOfDayLayout is how times of day are shown.
+// timeOfDayLayout is the layout of times in tooltips.
 const timeOfDayLayout = "15:04:05.000"
 
+// newMarks returns evenly spaced marks, the first at the start of the period.
 func newMarks(s record.Stretch, scale float64) []mark {
 	var list []mark
 	step := s.To.Sub(s.From) / axisMarkCount
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -15,6 +15,7 @@
 	"github.com/matryer/is"
 )
 
+// TestPage checks the positions and sums of a page, and that the HTML contains findings and escapes texts of operators.
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 12, 3, 20, 0, 0, 0, time.UTC)
@@ -49,5 +50,5 @@
 	is.NoErr(Write(&b, source))
 	is.True(strings.Contains(b.String(), "has note 1 in force; the newest is 2"))
 	is.True(strings.Contains(b.String(), `class="Ejected"`))
-	is.True(!strings.Contains(b.String(), "<script>")) // an operator's words stay text
+	is.True(!strings.Contains(b.String(), "<script>")) // texts written by operators are escaped
 }
--- a/internal/report/write.go
+++ b/internal/report/write.go
@@ -11,7 +11,7 @@
 
 var namespace = errorx.NewNamespace("report").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrWrite reports a page that could not be written.
+// ErrWrite reports that a page could not be written.
 var ErrWrite = namespace.NewType("write")
 
 //go:embed page.html
@@ -25,13 +25,14 @@
 	"rounded": func(d time.Duration) string { return d.Round(10 * time.Microsecond).String() },
 }).Parse(pageHTML))
 
-// shortHashDigits is how many digits of a hash are shown.
+// shortHashDigits is the number of digits of a hash that the page shows.
 const shortHashDigits = 12
 
-// Write writes a source as one HTML page without scripts or outside references; errors are ErrWrite.
+// Write writes the page for a source as a self-contained HTML document without scripts or external references. Errors are
+// ErrWrite.
 func Write(w io.Writer, s Source) error {
 	if err := pageTemplate.Execute(w, newPage(s)); err != nil {
-		return ErrWrite.New("the page was not written whole (%v); free space and write it again", err)
+		return ErrWrite.New("the page was not written completely (%v); free disk space and write it again", err)
 	}
 	return nil
 }
