--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -47,7 +47,8 @@
 type Config struct {
 	// Seeds are the addresses of entry hosts to ask while no addresses are known for a service, or none of them responds.
 	Seeds []string
-	// Domain is the failure domain of the client. Entry hosts take it into account when they list addresses.
+	// Domain is the failure domain of the client. It is sent with each request, and entry hosts take it into account when
+	// they list addresses.
 	Domain string
 	// Seed is the seed of the random choices.
 	Seed uint64
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -42,7 +42,7 @@
 	return c.runs[key]
 }
 
-// DuplicatedKeys returns how many keys were run more than once.
+// DuplicatedKeys returns the number of keys whose requests ran more than once.
 func (c *RunCounter) DuplicatedKeys() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -66,7 +66,7 @@
 	// more than NearlyFullShare of its slots in use, this request included.
 	NearlyFullShare    float64
 	NearlyFullSlowdown float64
-	// Fault is the fault of FaultShare of the servers between FaultFrom and FaultUntil.
+	// Fault is the fault that FaultShare of the servers have between FaultFrom and FaultUntil.
 	Fault                 FaultKind
 	FaultShare            float64
 	FaultFrom, FaultUntil time.Duration
@@ -86,7 +86,7 @@
 	Workload string
 	// Requests is the number of requests. Each of them is in one of the next four counts.
 	Requests int
-	// InGoal and Late count responses within the latency goal, and after it but before the caller's time-out.
+	// InGoal counts responses within the latency goal, and Late those after it but within the caller's time-out.
 	InGoal int
 	Late   int
 	// Refused counts requests that the policy or a full server refused, and Lost those that the caller gave up.
@@ -99,7 +99,8 @@
 	P99 time.Duration
 	// Probes is the number of health probes per target and second.
 	Probes float64
-	// ExtraAttempts is the number of hedges per request. There are no retries in the simulation.
+	// ExtraAttempts is the number of hedges, those during the warm-up included, per counted request. There are no retries
+	// in the simulation.
 	ExtraAttempts float64
 	// LateRefusalShare is the share of refused requests whose refusal came after more than half of the caller's time-out.
 	LateRefusalShare float64
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -27,7 +27,7 @@
 }
 
 // LeastInFlight sends each request immediately to the server with the fewest requests in flight. Requests are spread at
-// random over entry hosts, of which there are Hosts, and each of them knows only the requests that it sent itself.
+// random over as many entry hosts as Hosts says, each of which counts only the requests that it sent itself.
 type LeastInFlight struct{ Hosts int }
 
 // AtRandom sends each request immediately to a random server.
@@ -203,7 +203,7 @@
 
 // Parameters of the simulated home.
 const (
-	// The retry budget allows hedges for 0.18 of the requests of the last 10 s, and 22 more.
+	// The retry budget allows 0.18 extra attempts per request, and 22 more, in a window of 10 s.
 	retryBudgetRatio  = 0.18
 	retryBudgetSlack  = 22
 	retryBudgetWindow = 10 * time.Second
