--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,4 +1,5 @@
-// Package caller is a caller's side of the protocol: it asks for addresses, keeps the answer for a while and connects.
+// Package caller is an HTTP client for services behind briarcroft. It gets the addresses of the entry hosts to use for a
+// service from any entry host, caches them, sends requests to these hosts and retries where that is safe.
 package caller
 
 import (
@@ -25,29 +26,33 @@
 
 var namespace = errorx.NewNamespace("caller").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrNoAddress reports that no known entry host gave an address answer.
+// ErrNoAddress reports that no entry host returned addresses for a service.
 var ErrNoAddress = namespace.NewType("no_address")
 
-// ErrRefused reports a connection that could not be opened; nothing was sent.
-var ErrRefused = namespace.NewType("refused")
+// ErrConnect reports that no connection could be opened, so that nothing was sent.
+var ErrConnect = namespace.NewType("refused")
 
-// ErrCut reports an answer that did not come whole.
-var ErrCut = namespace.NewType("cut")
+// ErrIncompleteResponse reports that a request was or may have been sent, but no complete response was received.
+var ErrIncompleteResponse = namespace.NewType("cut")
 
-// Numbers of the client.
 const (
-	maxSends    = 6
-	resendPause = 50 * time.Millisecond
-	askTimeout  = time.Second
+	maxAttempts = 6
+	// defaultRetryDelay is the delay before a further attempt if the response has no Retry-After field.
+	defaultRetryDelay = 50 * time.Millisecond
+	// addressTimeout limits a request for addresses.
+	addressTimeout = time.Second
 )
 
-// Config sets up a Client.
+// Config configures a Client.
 type Config struct {
-	// Seeds are addresses of entry hosts to ask first.
-	Seeds  []string
+	// Seeds are the addresses of entry hosts to ask while no addresses are known for a service, or none of them responds.
+	Seeds []string
+	// Domain is the failure domain of the client. It is sent with each request, and entry hosts take it into account when
+	// they list addresses.
 	Domain string
-	Seed   uint64
-	// Dial opens connections; nil means TCP.
+	// Seed is the seed of the random choices.
+	Seed uint64
+	// Dial opens connections. If it is nil, the client uses TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -57,86 +62,91 @@
 	transport *http.Transport
 	mu        sync.Mutex
 	random    *rand.Rand
-	answers   map[string]kept
-	// grants holds the answers of single entry hosts, for their grants.
-	grants map[string]kept
+	// answersByService holds the newest address answer for each service.
+	answersByService map[string]cachedAnswer
+	// answersByHost holds the newest address answer of each entry host that requests were sent to. Only its grant is used.
+	answersByHost map[string]cachedAnswer
 }
 
-type kept struct {
+// cachedAnswer is an address answer with the time at which it expires.
+type cachedAnswer struct {
 	address.Answer
-	until time.Time
+	expiresAt time.Time
 }
 
-// New returns a client and the function that closes its connections.
+// New returns a client and a function that closes its idle connections.
 func New(c Config) (*Client, func()) {
 	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true, DialContext: c.Dial}
-	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), answers: map[string]kept{}, grants: map[string]kept{}}
+	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), answersByService: map[string]cachedAnswer{}, answersByHost: map[string]cachedAnswer{}}
 	return client, t.CloseIdleConnections
 }
 
-// Request is one request of a caller.
+// Request is a request to a service.
 type Request struct {
 	Service string
 	Method  string
 	Path    string
 	Body    []byte
-	// Once asks that the request runs at most once.
-	Once bool
+	// AtMostOnce is set if the request must not run more than once. It is then sent with an Idempotency-Key.
+	AtMostOnce bool
 }
 
-// Answer is how a request ended.
-type Answer struct {
-	Status  int
+// Response is the response to the last attempt of a request.
+type Response struct {
+	Status int
+	// Outcome says whether the request ran. It is empty if the response does not say so.
 	Outcome claim.Outcome
 	Header  http.Header
 	Body    []byte
-	// Key is the last Idempotency-Key used, and Keys all of them.
-	Keys  []string
-	Sends int
+	// IdempotencyKeys holds all keys that the request was sent with, the last one last.
+	IdempotencyKeys []string
+	// Attempts is the number of times that the request was sent, or that sending it was tried.
+	Attempts int
 }
 
-// Addresses returns the address answer for a service, kept or fresh; errors are ErrNoAddress.
+// Addresses returns the entry hosts for a service, from the cache until they expire. If no entry host responds, it
+// returns the expired ones. Errors are ErrNoAddress.
 func (c *Client) Addresses(ctx context.Context, service string) (address.Answer, error) {
 	c.mu.Lock()
-	k, found := c.answers[service]
+	cached, found := c.answersByService[service]
 	c.mu.Unlock()
-	if found && time.Now().Before(k.until) {
-		return k.Answer, nil
+	if found && time.Now().Before(cached.expiresAt) {
+		return cached.Answer, nil
 	}
-	var last error
-	for _, host := range c.askOrder(k.Answer) {
-		answer, err := c.Ask(ctx, host, service)
+	var lastErr error
+	for _, host := range c.hostsToAsk(cached.Answer) {
+		answer, err := c.FetchAddresses(ctx, host, service)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		c.mu.Lock()
-		c.answers[service] = kept{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
+		c.answersByService[service] = cachedAnswer{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
 		c.mu.Unlock()
 		return answer, nil
 	}
 	if found {
-		return k.Answer, nil
+		return cached.Answer, nil
 	}
-	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, last)
+	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
-// askOrder returns the hosts of the last answer and then the seeds, from a random place on.
-func (c *Client) askOrder(last address.Answer) []string {
+// hostsToAsk returns the hosts of the last answer, followed by the seeds, beginning with a random one.
+func (c *Client) hostsToAsk(last address.Answer) []string {
 	var list []string
 	for _, a := range last.Addresses {
 		list = append(list, a.Address)
 	}
 	c.mu.Lock()
-	first := c.random.IntN(max(1, len(c.config.Seeds)))
+	offset := c.random.IntN(max(1, len(c.config.Seeds)))
 	c.mu.Unlock()
-	return append(append(list, c.config.Seeds[first:]...), c.config.Seeds[:first]...)
+	return append(append(list, c.config.Seeds[offset:]...), c.config.Seeds[:offset]...)
 }
 
-// Ask asks one entry host for addresses; errors are ErrNoAddress.
-func (c *Client) Ask(ctx context.Context, host, service string) (address.Answer, error) {
+// FetchAddresses requests the entry hosts for a service from one entry host, past the cache. Errors are ErrNoAddress.
+func (c *Client) FetchAddresses(ctx context.Context, host, service string) (address.Answer, error) {
 	var answer address.Answer
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	query := url.Values{"Service": {service}, "Domain": {c.config.Domain}}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+"/Addresses?"+query.Encode(), nil)
@@ -149,7 +159,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return answer, ErrNoAddress.New("%s answered %s (%s)", host, response.Status, response.Header.Get(steering.HeaderReason))
+		return answer, ErrNoAddress.New("%s: got status %s (%s)", host, response.Status, response.Header.Get(steering.HeaderReason))
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, 1<<20)).Decode(&answer); err != nil {
 		return answer, ErrNoAddress.New("%s: %v", host, err)
@@ -157,133 +167,141 @@
 	return answer, nil
 }
 
-func (c *Client) forget(service string) {
+// expireAnswers makes the next attempt request new addresses for a service, and new grants.
+func (c *Client) expireAnswers(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.grants)
-	if k, found := c.answers[service]; found {
-		k.until = time.Time{}
-		c.answers[service] = k
+	clear(c.answersByHost)
+	if cached, found := c.answersByService[service]; found {
+		cached.expiresAt = time.Time{}
+		c.answersByService[service] = cached
 	}
 }
 
-// Do sends a request until its outcome is known, as far as that is safe.
-// A request with Once keeps its key while it may have run, and takes a new one only when it was not run.
-// Errors are ErrNoAddress, ErrRefused or ErrCut.
-func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
-	var answer Answer
-	var keys []string
+// Do sends a request and retries it, up to maxAttempts attempts, until its outcome is known. Retries of an AtMostOnce
+// request use the same Idempotency-Key while an earlier attempt may have run, and a new one after an attempt that
+// certainly did not run. Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse, for the last attempt.
+func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
+	var response Response
+	var keysUsed []string
 	key := ""
 	var err error
-	for send := 1; send <= maxSends; send++ {
-		var target string
-		if target, key, err = c.aim(ctx, r, key, send); err != nil {
-			return answer, err
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
+		var host string
+		if host, key, err = c.chooseHost(ctx, r, key, attempt); err != nil {
+			return response, err
 		}
-		if key != "" && (len(keys) == 0 || keys[len(keys)-1] != key) {
-			keys = append(keys, key)
+		if key != "" && (len(keysUsed) == 0 || keysUsed[len(keysUsed)-1] != key) {
+			keysUsed = append(keysUsed, key)
 		}
-		answer, err = c.send(ctx, r, target, key)
-		answer.Keys, answer.Sends = keys, send
-		if err == nil && isFinal(r, answer) {
-			return answer, nil
+		response, err = c.send(ctx, r, host, key)
+		response.IdempotencyKeys, response.Attempts = keysUsed, attempt
+		if err == nil && isFinal(r, response) {
+			return response, nil
 		}
-		if err != nil || answer.Status == http.StatusServiceUnavailable {
-			c.forget(r.Service)
+		if err != nil || response.Status == http.StatusServiceUnavailable {
+			c.expireAnswers(r.Service)
 		}
-		if err == nil && answer.Outcome == claim.NotRun || send == 1 && errorx.IsOfType(err, ErrRefused) {
+		if err == nil && response.Outcome == claim.NotRun || attempt == 1 && errorx.IsOfType(err, ErrConnect) {
 			key = ""
 		}
-		if !pause(ctx, retryAfter(answer)) {
+		if !sleep(ctx, retryDelay(response)) {
 			break
 		}
 	}
-	return answer, err
+	return response, err
 }
 
-// isFinal reports whether there is nothing to gain from sending again.
-func isFinal(r Request, a Answer) bool {
-	if a.Outcome == "" || a.Outcome == claim.Ran {
+// isFinal reports whether a retry cannot help: the request ran, or was refused with a status other than 503 and 409, or
+// it is an AtMostOnce request whose response was lost for good. All other requests may be retried.
+func isFinal(r Request, response Response) bool {
+	if response.Outcome == "" || response.Outcome == claim.Ran {
 		return true
 	}
-	if a.Outcome == claim.NotRun {
-		return a.Status != http.StatusServiceUnavailable && a.Status != http.StatusConflict
+	if response.Outcome == claim.NotRun {
+		return response.Status != http.StatusServiceUnavailable && response.Status != http.StatusConflict
 	}
-	return r.Once && a.Header.Get(steering.HeaderReason) == string(claim.ReasonResponseLost)
+	return r.AtMostOnce && response.Header.Get(steering.HeaderReason) == string(claim.ReasonResponseLost)
 }
 
-// aim chooses where to send, and a key for a request that has none yet.
-func (c *Client) aim(ctx context.Context, r Request, key string, send int) (string, string, error) {
+// chooseHost returns the address of the entry host for an attempt, and the Idempotency-Key: the given one or, if that is
+// empty and the request is AtMostOnce, a new one. Attempts go through the listed hosts in turn.
+func (c *Client) chooseHost(ctx context.Context, r Request, key string, attempt int) (string, string, error) {
 	answer, err := c.Addresses(ctx, r.Service)
 	if err != nil {
 		return "", "", err
 	}
-	target := answer.Addresses[(send-1)%len(answer.Addresses)].Address
-	if !r.Once || key != "" {
-		return target, key, nil
+	host := answer.Addresses[(attempt-1)%len(answer.Addresses)].Address
+	if !r.AtMostOnce || key != "" {
+		return host, key, nil
 	}
-	return target, fmt.Sprintf("%s.%s", c.grant(ctx, target, r.Service, answer.Grant), c.suffix()), nil
+	return host, fmt.Sprintf("%s.%s", c.grantFrom(ctx, host, r.Service, answer.Grant), c.newKeySuffix()), nil
 }
 
-// grant returns a grant of the host that a request is sent to, so that no other host has to pass it on; or the given one
-// when that host does not answer. A grant is kept for as long as an address answer.
-func (c *Client) grant(ctx context.Context, target, service, other string) string {
+// grantFrom returns a grant, the first part of an Idempotency-Key, that was issued by the host to which the request is
+// sent. With a grant of another host, the request would have to be forwarded to that one. If the host does not respond,
+// grantFrom returns the fallback. Grants are cached for the MaxAge of the address answer that they come with.
+func (c *Client) grantFrom(ctx context.Context, host, service, fallback string) string {
 	c.mu.Lock()
-	k := c.grants[target]
+	cached := c.answersByHost[host]
 	c.mu.Unlock()
-	if time.Now().Before(k.until) {
-		return k.Grant
+	if time.Now().Before(cached.expiresAt) {
+		return cached.Grant
 	}
-	own, err := c.Ask(ctx, target, service)
+	answer, err := c.FetchAddresses(ctx, host, service)
 	if err != nil {
-		return other
+		return fallback
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.grants[target] = kept{own, time.Now().Add(time.Duration(own.MaxAge) * time.Second)}
-	return own.Grant
+	c.answersByHost[host] = cachedAnswer{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
+	return answer.Grant
 }
 
-func (c *Client) suffix() string {
+// newKeySuffix returns a random second part for an Idempotency-Key.
+func (c *Client) newKeySuffix() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strconv.FormatUint(c.random.Uint64(), 36)
 }
 
-func (c *Client) send(ctx context.Context, r Request, target, key string) (Answer, error) {
-	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+target+r.Path, bytes.NewReader(r.Body))
+// send sends a request once. The returned error is nil, ErrConnect or ErrIncompleteResponse.
+func (c *Client) send(ctx context.Context, r Request, host, key string) (Response, error) {
+	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+host+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return Answer{}, ErrCut.New("%v", err)
+		return Response{}, ErrIncompleteResponse.New("%v", err)
 	}
 	request.Header.Set(steering.HeaderDomain, c.config.Domain)
 	if key != "" {
 		request.Header.Set("Idempotency-Key", key)
 	}
 	response, err := c.transport.RoundTrip(request)
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
-		return Answer{}, ErrRefused.New("%s: %v; the next address is tried", target, err)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
+		return Response{}, ErrConnect.New("%s: %v; the next address is tried", host, err)
 	}
 	if err != nil {
-		return Answer{}, ErrCut.New("%s: %v", target, err)
+		return Response{}, ErrIncompleteResponse.New("%s: %v", host, err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	answer := Answer{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
+	result := Response{Status: response.StatusCode, Outcome: claim.Outcome(response.Header.Get(steering.HeaderOutcome)), Header: response.Header, Body: body}
 	if err != nil {
-		return answer, ErrCut.New("%s cut its answer after %d bytes: %v", target, len(body), err)
+		return result, ErrIncompleteResponse.New("%s: response truncated after %d bytes: %v", host, len(body), err)
 	}
-	return answer, nil
+	return result, nil
 }
 
-func retryAfter(a Answer) time.Duration {
-	if n, err := strconv.Atoi(a.Header.Get("Retry-After")); err == nil && n > 0 {
+// retryDelay returns the delay before the next attempt, from the Retry-After field if there is one in seconds.
+func retryDelay(r Response) time.Duration {
+	if n, err := strconv.Atoi(r.Header.Get("Retry-After")); err == nil && n > 0 {
 		return time.Duration(n) * time.Second
 	}
-	return resendPause
+	return defaultRetryDelay
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration. It returns false if ctx is done before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,6 @@
-// Package demo runs a whole deployment in one process on loopback and checks that nothing is lost, doubled or cut.
+// Package demo runs a complete deployment of entry hosts, backend servers and callers in one process over loopback, and
+// checks that no request is lost, run twice or answered with a truncated response. While callers send requests, it
+// publishes a configuration change and stops an entry host. A note is one revision of the configuration.
 package demo
 
 import (
@@ -25,72 +27,77 @@
 
 var namespace = errorx.NewNamespace("demo").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrBroken reports that a request was lost, doubled or cut, or that a note is not in force.
-var ErrBroken = namespace.NewType("broken_promise")
+// ErrCheckFailed reports that a request was lost, run twice or answered with a truncated response, or that a note did not
+// come into force on all entry hosts.
+var ErrCheckFailed = namespace.NewType("broken_promise")
 
-// Numbers of the demo.
 const (
 	callersPerDomain = 4
-	readyTimeout     = 15 * time.Second
-	workSpread       = 0.4
+	// readyTimeout limits the wait for a note to come into force on all hosts.
+	readyTimeout = 15 * time.Second
+	// serviceTimeSigma is the standard deviation of the natural logarithm of service times.
+	serviceTimeSigma = 0.4
 )
 
-// Config sets up a run.
+// Config configures a run of the demo.
 type Config struct {
 	Deployment Deployment
-	// Length is how long callers send.
-	Length time.Duration
-	// RateFactor multiplies every rate.
+	// Duration is how long callers send requests.
+	Duration time.Duration
+	// RateFactor multiplies the request rates of all workloads.
 	RateFactor float64
-	Seed       uint64
-	Out        io.Writer
-	Logger     zerolog.Logger
+	// Seed is the seed of all random numbers of callers and backend servers.
+	Seed uint64
+	// Out receives the progress and the results, and Logger the log records of the entry hosts.
+	Out    io.Writer
+	Logger zerolog.Logger
 }
 
-// fleet is everything that a run started.
+// fleet holds the entry hosts, backend servers and callers of a run, and the in-memory store that they use.
 type fleet struct {
-	config   Config
-	store    *standin.Server
-	storeURL string
-	client   platform.Store
-	archive  *note.Archive
-	ledger   *Ledger
-	targets  map[string]*Target
-	hosts    []*running
-	callers  []*caller.Client
-	closers  []func()
+	config     Config
+	store      *standin.Server
+	storeURL   string
+	client     platform.Store
+	archive    *note.Archive
+	runCounter *RunCounter
+	targets    map[string]*Target
+	hosts      []*runningHost
+	callers    []*caller.Client
+	// cleanups are run in reverse order at the end.
+	cleanups []func()
 }
 
-// running is one entry host of the run.
-type running struct {
+// runningHost is an entry host of the run. stop makes it stop gracefully, and done then receives the result of Serve.
+type runningHost struct {
 	host *entry.Host
 	stop context.CancelFunc
 	done chan error
 }
 
-// Run runs a deployment and returns ErrBroken if a promise was broken.
+// Run runs a deployment and prints the results. It returns ErrCheckFailed if a check failed.
 func Run(ctx context.Context, c Config) error {
-	f := &fleet{config: c, ledger: NewLedger(), targets: map[string]*Target{}}
+	f := &fleet{config: c, runCounter: NewRunCounter(), targets: map[string]*Target{}}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.Out, "%s: %d entry hosts, %d targets, note 1 in force everywhere\n", c.Deployment.Name, len(f.hosts), len(f.targets))
-	tally := newTally()
-	traffic, stopTraffic := context.WithTimeout(ctx, c.Length)
+	res := newResults()
+	traffic, stopTraffic := context.WithTimeout(ctx, c.Duration)
 	defer stopTraffic()
 	var group sync.WaitGroup
-	for _, load := range c.Deployment.Loads {
-		group.Go(func() { f.generate(traffic, load, tally) })
+	for _, workload := range c.Deployment.Workloads {
+		group.Go(func() { f.sendRequests(traffic, workload, res) })
 	}
-	events := make(chan error, 1)
-	go func() { events <- f.events(traffic, tally) }()
-	f.progress(traffic, tally)
+	eventsDone := make(chan error, 1)
+	go func() { eventsDone <- f.runEvents(traffic, res) }()
+	f.printProgress(traffic, res)
 	group.Wait()
-	if err := <-events; err != nil {
+	if err := <-eventsDone; err != nil {
 		return err
 	}
-	return f.judge(tally)
+	return f.printResults(res)
 }
 
 func (f *fleet) close() {
@@ -100,12 +107,13 @@
 	for _, r := range f.hosts {
 		<-r.done
 	}
-	slices.Reverse(f.closers)
-	for _, closer := range f.closers {
-		closer()
+	slices.Reverse(f.cleanups)
+	for _, cleanup := range f.cleanups {
+		cleanup()
 	}
 }
 
+// start starts all parts of the deployment and publishes the first note, then waits until it is in force on all hosts.
 func (f *fleet) start(ctx context.Context) error {
 	if err := f.startPlatform(); err != nil {
 		return err
@@ -123,13 +131,14 @@
 	if _, err := f.archive.Publish(ctx, n, "demo-1", time.Now()); err != nil {
 		return err
 	}
-	if err := f.await(ctx, 1); err != nil {
+	if err := f.awaitNote(ctx, 1); err != nil {
 		return err
 	}
 	f.startCallers()
 	return nil
 }
 
+// startPlatform starts the in-memory store and host list and connects to them.
 func (f *fleet) startPlatform() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,35 +148,36 @@
 	server := &http.Server{Handler: f.store, ReadHeaderTimeout: 5 * time.Second}
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(listener) }()
-	f.closers = append(f.closers, func() {
-		// The server is this run's own.
+	f.cleanups = append(f.cleanups, func() {
+		// An error does no harm, because nothing but this run uses the server.
 		_ = server.Close()
 		<-done
 	})
 	f.storeURL = "http://" + listener.Addr().String()
 	client, closeClient := platform.NewEtcd(platform.EtcdConfig{URL: f.storeURL, Timeout: time.Second})
-	f.closers = append(f.closers, closeClient)
+	f.cleanups = append(f.cleanups, closeClient)
 	f.client, f.archive = client, note.NewArchive(note.ArchiveConfig{Store: client})
 	return nil
 }
 
 func (f *fleet) startTargets() error {
-	for _, load := range f.config.Deployment.Loads {
-		for i := range load.Targets {
+	for _, workload := range f.config.Deployment.Workloads {
+		for i := range workload.Targets {
 			t, stop, err := NewTarget(TargetConfig{
-				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, Work: load.Work, Spread: workSpread,
-				AnswerBytes: load.AnswerBytes, Ledger: f.ledger, Seed: f.config.Seed + uint64(len(f.targets)),
+				Listen: "127.0.0.1:0", Slots: f.config.Deployment.Slots, ServiceTime: workload.ServiceTime, ServiceTimeSigma: serviceTimeSigma,
+				ResponseBytes: workload.ResponseBytes, RunCounter: f.runCounter, Seed: f.config.Seed + uint64(len(f.targets)),
 			})
 			if err != nil {
 				return err
 			}
-			f.targets[TargetName(load.Service, i)] = t
-			f.closers = append(f.closers, stop)
+			f.targets[TargetName(workload.Service, i)] = t
+			f.cleanups = append(f.cleanups, stop)
 		}
 	}
 	return nil
 }
 
+// startHosts starts the entry hosts. The first two are the seed peers of all later ones.
 func (f *fleet) startHosts() error {
 	var seeds []string
 	for i := range f.config.Deployment.Hosts {
@@ -184,12 +194,12 @@
 		if err != nil {
 			return err
 		}
-		f.closers = append(f.closers, closeList, closeStore, closeHost)
+		f.cleanups = append(f.cleanups, closeList, closeStore, closeHost)
 		if len(seeds) < 2 {
 			seeds = append(seeds, h.Inner())
 		}
 		stop, cancel := context.WithCancel(context.Background())
-		r := &running{h, cancel, make(chan error, 1)}
+		r := &runningHost{h, cancel, make(chan error, 1)}
 		go func() { r.done <- h.Serve(stop, context.Background()) }()
 		f.hosts = append(f.hosts, r)
 	}
@@ -204,40 +214,42 @@
 	for i := range callersPerDomain * len(f.config.Deployment.Domains) {
 		c, closeCaller := caller.New(caller.Config{Seeds: seeds, Domain: f.config.Deployment.Domains[i%len(f.config.Deployment.Domains)], Seed: f.config.Seed + uint64(i)})
 		f.callers = append(f.callers, c)
-		f.closers = append(f.closers, closeCaller)
+		f.cleanups = append(f.cleanups, closeCaller)
 	}
 }
 
-// await returns once a note is in force on every host that is not stopped.
-func (f *fleet) await(ctx context.Context, number int) error {
+// awaitNote waits until all hosts that were not stopped are ready and have the note, or a later one, in force. It returns
+// ErrCheckFailed if this takes longer than readyTimeout.
+func (f *fleet) awaitNote(ctx context.Context, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		late := 0
+		lagging := 0
 		for _, r := range f.hosts {
 			if r.host.NoteNumber() < number || !r.host.Ready() {
-				late++
+				lagging++
 			}
 		}
-		if late == 0 {
+		if lagging == 0 {
 			return nil
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return ErrBroken.New("note %d is not in force on %d of %d hosts after %v; see the log with --verbose", number, late, len(f.hosts), readyTimeout)
+			return ErrCheckFailed.New("note %d is not in force on %d of %d hosts after %v; see the log with --verbose", number, lagging, len(f.hosts), readyTimeout)
 		}
 	}
 }
 
-// events publishes a second note that withdraws a target and stops an entry host gracefully, under load.
-func (f *fleet) events(ctx context.Context, t *tally) error {
-	if !wait(ctx, f.config.Length*3/10) {
+// runEvents changes the deployment while callers send requests: it publishes a second note that withdraws a target,
+// counts the requests that this target gets once the note is in force, and stops an entry host gracefully.
+func (f *fleet) runEvents(ctx context.Context, res *results) error {
+	if !sleep(ctx, f.config.Duration*3/10) {
 		return nil
 	}
-	load := f.config.Deployment.Loads[0]
-	gone := TargetName(load.Service, load.Targets-1)
-	text := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", gone, gone)
+	workload := f.config.Deployment.Workloads[0]
+	withdrawn := TargetName(workload.Service, workload.Targets-1)
+	text := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", withdrawn, withdrawn)
 	n, err := note.Parse("second note", []byte(text))
 	if err != nil {
 		return err
@@ -246,22 +258,23 @@
 	if _, err := f.archive.Publish(ctx, n, "demo-2", published); err != nil {
 		return err
 	}
-	if err := f.await(ctx, 2); err != nil {
+	if err := f.awaitNote(ctx, 2); err != nil {
 		return err
 	}
-	t.inForce = time.Since(published)
-	before := f.targets[gone].Requests.Load()
-	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", gone, t.inForce.Round(time.Millisecond))
-	if !wait(ctx, f.config.Length*2/10) {
+	res.noteDelay = time.Since(published)
+	before := f.targets[withdrawn].Requests.Load()
+	fmt.Fprintf(f.config.Out, "note 2 withdraws %s: in force everywhere after %v\n", withdrawn, res.noteDelay.Round(time.Millisecond))
+	if !sleep(ctx, f.config.Duration*2/10) {
 		return nil
 	}
-	t.afterWithdraw = f.targets[gone].Requests.Load() - before
-	return f.stopHost(ctx, t)
+	res.requestsAfterWithdrawal = f.targets[withdrawn].Requests.Load() - before
+	return f.stopHost(ctx, res)
 }
 
-// stopHost stops the first home of the busiest service gracefully.
-func (f *fleet) stopHost(ctx context.Context, t *tally) error {
-	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Loads[0].Service)
+// stopHost gracefully stops the first home of the first service, which has the highest request rate. A home is an entry
+// host that places the requests of a service.
+func (f *fleet) stopHost(ctx context.Context, res *results) error {
+	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
 	if err != nil {
 		return err
 	}
@@ -273,21 +286,23 @@
 		started := time.Now()
 		r.stop()
 		err := <-r.done
-		t.stopTook = time.Since(started)
-		fmt.Fprintf(f.config.Out, "%s stopped after %v\n", r.host.Name(), t.stopTook.Round(time.Millisecond))
+		res.stopDuration = time.Since(started)
+		fmt.Fprintf(f.config.Out, "%s stopped after %v\n", r.host.Name(), res.stopDuration.Round(time.Millisecond))
 		f.hosts = slices.Delete(f.hosts, i, i+1)
 		return err
 	}
 	return nil
 }
 
-func (f *fleet) progress(ctx context.Context, t *tally) {
-	for wait(ctx, time.Second) {
-		fmt.Fprintf(f.config.Out, "  %d requests answered\n", t.answered())
+// printProgress prints the number of requests every second until ctx is done.
+func (f *fleet) printProgress(ctx context.Context, res *results) {
+	for sleep(ctx, time.Second) {
+		fmt.Fprintf(f.config.Out, "  %d requests answered\n", res.requestCount())
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration. It returns false if ctx is done before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -296,30 +311,30 @@
 	}
 }
 
-// generate sends one service's requests as a Poisson stream and waits for all answers.
-func (f *fleet) generate(ctx context.Context, load Load, t *tally) {
-	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(load.Service))))
+// sendRequests sends the requests of one service as a Poisson process until ctx is done, then waits for all responses.
+func (f *fleet) sendRequests(ctx context.Context, workload Workload, res *results) {
+	random := rand.New(rand.NewPCG(f.config.Seed, uint64(len(workload.Service))))
 	var group sync.WaitGroup
 	defer group.Wait()
 	for i := 0; ; i++ {
-		gap := time.Duration(random.ExpFloat64() / (load.Rate * f.config.RateFactor) * float64(time.Second))
-		if !wait(ctx, gap) {
+		gap := time.Duration(random.ExpFloat64() / (workload.Rate * f.config.RateFactor) * float64(time.Second))
+		if !sleep(ctx, gap) {
 			return
 		}
 		client := f.callers[random.IntN(len(f.callers))]
-		group.Go(func() { f.one(client, load, i, t) })
+		group.Go(func() { f.sendRequest(client, workload, i, res) })
 	}
 }
 
-// one sends one request and checks its answer against what the targets did.
-func (f *fleet) one(client *caller.Client, load Load, i int, t *tally) {
+// sendRequest sends the i-th request of a service and records its outcome.
+func (f *fleet) sendRequest(client *caller.Client, workload Workload, i int, res *results) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r := caller.Request{Service: load.Service, Method: load.Method, Path: fmt.Sprintf("%s%d", load.Path, i), Once: load.Once}
-	if load.Once {
-		r.Body = fmt.Appendf(nil, "%s %d", load.Service, i)
+	r := caller.Request{Service: workload.Service, Method: workload.Method, Path: fmt.Sprintf("%s%d", workload.Path, i), AtMostOnce: workload.AtMostOnce}
+	if workload.AtMostOnce {
+		r.Body = fmt.Appendf(nil, "%s %d", workload.Service, i)
 	}
 	started := time.Now()
-	answer, err := client.Do(ctx, r)
-	t.add(load, answer, err, time.Since(started), f.verdict(load, r, answer, err))
+	response, err := client.Do(ctx, r)
+	res.record(workload, response, err, time.Since(started), f.classify(workload, r, response, err))
 }
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -6,35 +6,44 @@
 	"time"
 )
 
-// Load is one service of a deployment with the traffic that its callers send.
-type Load struct {
-	Service     string
-	Class       string
-	Method      string
-	Path        string
-	Targets     int
-	Once        bool
-	Weight      int
-	Work        time.Duration
-	AnswerBytes int
+// Workload is a service of a deployment and the requests that callers send to it.
+type Workload struct {
+	Service string
+	// Class is the class of the requests, by which the results are grouped.
+	Class  string
+	Method string
+	// Path is the prefix of the paths; the number of the request follows.
+	Path string
+	// Targets is the number of backend servers.
+	Targets int
+	// AtMostOnce is set if a request must not run more than once.
+	AtMostOnce bool
+	// Weight is the weight of the class in the configuration.
+	Weight int
+	// ServiceTime is the mean service time of a request.
+	ServiceTime   time.Duration
+	ResponseBytes int
 	// Rate is in requests per second.
 	Rate float64
 }
 
-// Deployment is one of the firms' systems as it is today.
+// Deployment describes a system to run. It has the size and the services of a production system.
 type Deployment struct {
-	Name    string
+	Name string
+	// Domains are the names of the failure domains. Entry hosts, targets and callers are spread over them evenly.
 	Domains []string
-	Hosts   int
-	Slots   int
-	Loads   []Load
+	// Hosts is the number of entry hosts.
+	Hosts int
+	// Slots is the number of requests that each target runs concurrently.
+	Slots     int
+	Workloads []Workload
 }
 
-// Deployments lists the deployments that the demo knows.
+// Deployments lists the deployments that the demo can run.
 var Deployments = []Deployment{
 	{
 		Name: "stalverk", Domains: []string{"oslo", "bergen", "trondheim"}, Hosts: 13, Slots: 4,
-		Loads: []Load{
+		Workloads: []Workload{
 			{"certificate-lookup", "lookup", "GET", "/certificates/", 13, false, 2, 8 * time.Millisecond, 2 << 10, 220},
 			{"sign-off", "sign-off", "POST", "/sign-offs/", 8, true, 4, 12 * time.Millisecond, 512, 60},
 			{"scanned-documents", "download", "GET", "/scans/", 6, false, 1, 15 * time.Millisecond, 256 << 10, 25},
@@ -43,7 +52,7 @@
 	},
 	{
 		Name: "kiosques", Domains: []string{"ariana", "bizerte", "tunis"}, Hosts: 13, Slots: 3,
-		Loads: []Load{
+		Workloads: []Workload{
 			{"stock-lookup", "lookup", "GET", "/stock/", 14, false, 2, 8 * time.Millisecond, 1 << 10, 220},
 			{"order-booking", "order", "POST", "/orders/", 7, true, 4, 15 * time.Millisecond, 512, 50},
 			{"planogram-distribution", "download", "GET", "/planograms/", 6, false, 1, 15 * time.Millisecond, 512 << 10, 20},
@@ -52,22 +61,23 @@
 	},
 }
 
-// FirstNote returns the text of a deployment's first note; addresses holds the targets' addresses by name.
+// FirstNote returns the text of the note with the initial configuration of the deployment. The function addresses returns
+// the address of the target with a name.
 func (d Deployment) FirstNote(addresses func(target string) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[Note]\nFollows = 0\nOperator = demo\nReason = first note of %s\n", d.Name)
-	for _, l := range d.Loads {
-		fmt.Fprintf(&b, "\n[Service %s]\nReportPath = /Report\n", l.Service)
+	for _, w := range d.Workloads {
+		fmt.Fprintf(&b, "\n[Service %s]\nReportPath = /Report\n", w.Service)
 		fmt.Fprintf(&b, "\n[Rule %s]\nPath = %s\nService = %s\nClass = %s\nWeight = %d\nDeadline = 5s\nNotRunStatuses = 503\n",
-			l.Class, l.Path, l.Service, l.Class, l.Weight)
-		for i := range l.Targets {
-			name := TargetName(l.Service, i)
+			w.Class, w.Path, w.Service, w.Class, w.Weight)
+		for i := range w.Targets {
+			name := TargetName(w.Service, i)
 			fmt.Fprintf(&b, "\n[Target %s]\nService = %s\nAddress = %s\nDomain = %s\nSlots = %d\n",
-				name, l.Service, addresses(name), d.Domains[i%len(d.Domains)], d.Slots)
+				name, w.Service, addresses(name), d.Domains[i%len(d.Domains)], d.Slots)
 		}
 	}
 	return b.String()
 }
 
-// TargetName returns the name of a service's target by number.
+// TargetName returns the name of a target of a service. Targets are numbered from 0, and their names from 1.
 func TargetName(service string, number int) string { return fmt.Sprintf("%s-%d", service, number+1) }
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -16,108 +16,122 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// verdict is what became of one request.
-type verdict int
+// outcome is the outcome of a request.
+type outcome int
 
 const (
-	answeredWhole verdict = iota
-	refusedNotRun
+	// completed means that the expected response was received.
+	completed outcome = iota
+	// notRun means that the request was refused and did not run.
+	notRun
+	// lost means that the request ended with an error or an unexpected response, or that no target ran it although it was
+	// answered.
 	lost
-	doubled
-	cut
+	// duplicated means that a request which must run at most once ran more than once. It is printed as Doubled.
+	duplicated
+	// truncated means that the body differs from the expected one. It is printed as Cut.
+	truncated
 )
 
-// verdict compares an answer with what the targets did.
-func (f *fleet) verdict(load Load, r caller.Request, a caller.Answer, err error) verdict {
+// classify determines the outcome of a request from its response and from how often targets ran it.
+func (f *fleet) classify(workload Workload, r caller.Request, response caller.Response, err error) outcome {
 	runs := 0
-	for _, key := range a.Keys {
-		runs += f.ledger.Runs(key)
+	for _, key := range response.IdempotencyKeys {
+		runs += f.runCounter.Runs(key)
 	}
 	switch {
-	case load.Once && runs > 1:
-		return doubled
+	case workload.AtMostOnce && runs > 1:
+		return duplicated
 	case err != nil:
 		return lost
-	case a.Status == http.StatusOK && !bytes.Equal(a.Body, Expected(r.Path, r.Body, load.AnswerBytes)):
-		return cut
-	case a.Status == http.StatusOK && load.Once && runs != 1:
+	case response.Status == http.StatusOK && !bytes.Equal(response.Body, ExpectedResponse(r.Path, r.Body, workload.ResponseBytes)):
+		return truncated
+	case response.Status == http.StatusOK && workload.AtMostOnce && runs != 1:
 		return lost
-	case a.Status == http.StatusOK:
-		return answeredWhole
-	case a.Outcome == claim.NotRun && runs == 0:
-		return refusedNotRun
+	case response.Status == http.StatusOK:
+		return completed
+	case response.Outcome == claim.NotRun && runs == 0:
+		return notRun
 	}
 	return lost
 }
 
-// tally is what a run counted.
-type tally struct {
-	mu            sync.Mutex
-	classes       map[string]*classTally
-	inForce       time.Duration
-	afterWithdraw int64
-	stopTook      time.Duration
+// results holds the counts and times of a run.
+type results struct {
+	mu      sync.Mutex
+	classes map[string]*classResults
+	// noteDelay is the time from the publication of note 2 until it was in force on all hosts.
+	noteDelay time.Duration
+	// requestsAfterWithdrawal is the number of requests that the withdrawn target received after that.
+	requestsAfterWithdrawal int64
+	// stopDuration is how long an entry host took to stop gracefully.
+	stopDuration time.Duration
 }
 
-type classTally struct {
-	count    [cut + 1]int64
-	resends  int64
-	latency  *hdrhistogram.Histogram
-	addition *hdrhistogram.Histogram
+// classResults holds the results of one class of requests.
+type classResults struct {
+	// counts is indexed by outcome.
+	counts  [truncated + 1]int64
+	retries int64
+	// latency is the latency of responses, and addedLatency that without the time spent at the target, in microseconds.
+	latency      *hdrhistogram.Histogram
+	addedLatency *hdrhistogram.Histogram
 }
 
-func newTally() *tally { return &tally{classes: map[string]*classTally{}} }
+func newResults() *results { return &results{classes: map[string]*classResults{}} }
 
-func (t *tally) add(load Load, a caller.Answer, err error, took time.Duration, v verdict) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := t.classes[load.Class]
+// record adds the outcome of a request to the results of its class.
+func (r *results) record(workload Workload, response caller.Response, err error, latency time.Duration, o outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c := r.classes[workload.Class]
 	if c == nil {
-		c = &classTally{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), addition: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-		t.classes[load.Class] = c
+		c = &classResults{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		r.classes[workload.Class] = c
 	}
-	c.count[v]++
-	c.resends += int64(max(0, a.Sends-1))
+	c.counts[o]++
+	c.retries += int64(max(0, response.Attempts-1))
 	if err != nil {
 		return
 	}
-	// Latencies above a minute end the run before they are recorded.
-	_ = c.latency.RecordValue(took.Microseconds())
-	if run, err := strconv.ParseInt(a.Header.Get(runHeader), 10, 64); err == nil {
-		_ = c.addition.RecordValue(max(1, took.Microseconds()-run))
+	// RecordValue fails above a minute, which latencies do not reach, since requests time out after 10 s.
+	_ = c.latency.RecordValue(latency.Microseconds())
+	if runTime, err := strconv.ParseInt(response.Header.Get(runHeader), 10, 64); err == nil {
+		_ = c.addedLatency.RecordValue(max(1, latency.Microseconds()-runTime))
 	}
 }
 
-func (t *tally) answered() int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// requestCount returns the number of requests that have ended, whatever their outcome.
+func (r *results) requestCount() int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var sum int64
-	for _, c := range t.classes {
-		for _, n := range c.count {
+	for _, c := range r.classes {
+		for _, n := range c.counts {
 			sum += n
 		}
 	}
 	return sum
 }
 
-// judge prints the table and returns ErrBroken if a promise was broken.
-func (f *fleet) judge(t *tally) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	var requests, bad int64
+// printResults prints the results and returns ErrCheckFailed if a check failed.
+func (f *fleet) printResults(res *results) error {
+	res.mu.Lock()
+	defer res.mu.Unlock()
+	var requests, failures int64
 	table := tabwriter.NewWriter(f.config.Out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "Class\tCount\tAnswered\tNotRun\tLost\tDoubled\tCut\tResent\tP50 ms\tP99 ms\tP99.9 ms\tAdded P50 ms\tAdded P99 ms\t")
-	for _, name := range sortedNames(t.classes) {
-		c := t.classes[name]
+	for _, name := range sortedNames(res.classes) {
+		c := res.classes[name]
 		var sum int64
-		for _, n := range c.count {
+		for _, n := range c.counts {
 			sum += n
 		}
 		requests += sum
-		bad += c.count[lost] + c.count[doubled] + c.count[cut]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, sum, c.count[answeredWhole], c.count[refusedNotRun],
-			c.count[lost], c.count[doubled], c.count[cut], c.resends, quantile(c.latency, 50), quantile(c.latency, 99), quantile(c.latency, 99.9),
-			quantile(c.addition, 50), quantile(c.addition, 99))
+		failures += c.counts[lost] + c.counts[duplicated] + c.counts[truncated]
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, sum, c.counts[completed], c.counts[notRun],
+			c.counts[lost], c.counts[duplicated], c.counts[truncated], c.retries, formatQuantile(c.latency, 50), formatQuantile(c.latency, 99), formatQuantile(c.latency, 99.9),
+			formatQuantile(c.addedLatency, 50), formatQuantile(c.addedLatency, 99))
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -127,21 +141,21 @@
 		probes += target.Probes.Load()
 	}
 	fmt.Fprintf(f.config.Out, "probes per request %.4f; keys run twice %d; requests to the withdrawn target after note 2 was in force %d\n",
-		float64(probes)/float64(max(1, requests)), f.ledger.Doubled(), t.afterWithdraw)
+		float64(probes)/float64(max(1, requests)), f.runCounter.DuplicatedKeys(), res.requestsAfterWithdrawal)
 	for _, r := range f.hosts {
 		fmt.Fprintf(f.config.Out, "%s: note %d in force\n", r.host.Name(), r.host.NoteNumber())
 		if r.host.NoteNumber() != 2 {
-			bad++
+			failures++
 		}
 	}
-	if bad > 0 || f.ledger.Doubled() > 0 || t.afterWithdraw > 0 {
-		return ErrBroken.New("%d requests were lost, doubled or cut, or a host lags; see the table", bad)
+	if failures > 0 || f.runCounter.DuplicatedKeys() > 0 || res.requestsAfterWithdrawal > 0 {
+		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or hosts do not have note 2 in force; see the table", failures)
 	}
 	fmt.Fprintln(f.config.Out, "0 lost, 0 doubled, 0 cut")
 	return nil
 }
 
-func sortedNames(classes map[string]*classTally) []string {
+func sortedNames(classes map[string]*classResults) []string {
 	var names []string
 	for name := range classes {
 		names = append(names, name)
@@ -150,6 +164,7 @@
 	return names
 }
 
-func quantile(h *hdrhistogram.Histogram, q float64) string {
+// formatQuantile returns a quantile of a histogram in microseconds, as milliseconds.
+func formatQuantile(h *hdrhistogram.Histogram, q float64) string {
 	return strconv.FormatFloat(float64(h.ValueAtQuantile(q))/1000, 'f', 2, 64)
 }
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -7,37 +7,40 @@
 	"briarcroft/internal/entry"
 )
 
-// Control is what one idle host spends on control, per second.
-type Control struct {
+// IdleUsage is the resource usage of an entry host that serves no requests: the overhead of health probes, heartbeats and
+// other control traffic.
+type IdleUsage struct {
 	Host string
-	// CoreShare is the share of one core.
+	// CoreShare is the processor time used, as a share of one core.
 	CoreShare float64
-	// SentPerSec and ReceivedPerSec are bytes of the host's own calls to peers.
+	// SentPerSec and ReceivedPerSec are the bytes per second of the calls that the host made to peers. Calls that peers made
+	// to it are not included.
 	SentPerSec     float64
 	ReceivedPerSec float64
-	HeapBytes      uint64
-	SystemBytes    uint64
-	Goroutines     int
+	// HeapBytes is the live heap and SystemBytes all memory obtained from the operating system, at the end.
+	HeapBytes   uint64
+	SystemBytes uint64
+	Goroutines  int
 }
 
-// RunControl watches hosts for a while without sending anything; errors are ErrHost.
-func RunControl(ctx context.Context, hosts []string, length time.Duration) ([]Control, error) {
+// RunIdle measures the usage of hosts over a duration, during which it sends them no requests. Errors are ErrNoStatus.
+func RunIdle(ctx context.Context, hosts []string, duration time.Duration) ([]IdleUsage, error) {
 	before := make([]entry.ProcessStatus, len(hosts))
 	for i, host := range hosts {
 		var err error
-		if before[i], err = process(ctx, host); err != nil {
+		if before[i], err = processStatus(ctx, host); err != nil {
 			return nil, err
 		}
 	}
-	wait(ctx, length)
-	var list []Control
+	sleep(ctx, duration)
+	var list []IdleUsage
 	for i, host := range hosts {
-		after, err := process(ctx, host)
+		after, err := processStatus(ctx, host)
 		if err != nil {
 			return nil, err
 		}
 		seconds := (after.Uptime - before[i].Uptime).Seconds()
-		list = append(list, Control{
+		list = append(list, IdleUsage{
 			Host: host, CoreShare: (after.Core - before[i].Core).Seconds() / seconds,
 			SentPerSec:     float64(after.InnerSent-before[i].InnerSent) / seconds,
 			ReceivedPerSec: float64(after.InnerReceived-before[i].InnerReceived) / seconds,
--- a/internal/model/loads.go
+++ b/internal/model/loads.go
@@ -2,48 +2,53 @@
 
 import "time"
 
-// Stock is a lookup service whose servers have few slots and whose callers are in a hurry.
-func Stock() Load {
-	return Load{
-		Name: "stock", Targets: 14, Slots: 3, Work: 90 * time.Millisecond, Spread: 0.3, Goal: 250 * time.Millisecond, Patience: time.Second,
-		Use: 0.6, Length: 30 * time.Second, Travel: 1500 * time.Microsecond, NoisyShare: 0.35, Noise: 4, NoiseEvery: 300 * time.Millisecond,
-		CrowdedShare: 0.8, Crowding: 1.7, Repeatable: true, Seed: 1,
+// StockWorkload returns the workload of a lookup service with few slots per server, a tight latency goal and short caller
+// time-outs.
+func StockWorkload() Workload {
+	return Workload{
+		Name: "stock", Targets: 14, Slots: 3, ServiceTime: 90 * time.Millisecond, ServiceTimeSigma: 0.3,
+		LatencyGoal: 250 * time.Millisecond, CallerTimeout: time.Second,
+		OfferedLoad: 0.6, Duration: 30 * time.Second, NetworkDelay: 1500 * time.Microsecond,
+		NoisyShare: 0.35, NoisyPace: 4, NoiseInterval: 300 * time.Millisecond,
+		NearlyFullShare: 0.8, NearlyFullSlowdown: 1.7, Repeatable: true, Seed: 1,
 	}
 }
 
-// Lookup is a lookup service with more slots and calmer neighbours.
-func Lookup() Load {
-	l := Stock()
-	l.Name, l.Targets, l.Slots, l.Work = "lookup", 13, 4, 160*time.Millisecond
-	l.Goal, l.Patience, l.Travel, l.NoisyShare = 400*time.Millisecond, 1200*time.Millisecond, time.Millisecond, 0.25
-	return l
+// LookupWorkload returns the workload of a lookup service with more slots per server, longer requests and fewer servers
+// slowed by noisy neighbours.
+func LookupWorkload() Workload {
+	w := StockWorkload()
+	w.Name, w.Targets, w.Slots, w.ServiceTime = "lookup", 13, 4, 160*time.Millisecond
+	w.LatencyGoal, w.CallerTimeout, w.NetworkDelay, w.NoisyShare = 400*time.Millisecond, 1200*time.Millisecond, time.Millisecond, 0.25
+	return w
 }
 
-// Loads returns the loads that experiments play: calm, busy, overloaded, a burst and servers in trouble.
-func Loads() []Load {
-	var list []Load
-	add := func(l Load, suffix string, change func(*Load)) {
-		l.Name += "-" + suffix
-		change(&l)
-		list = append(list, l)
+// Workloads returns the workloads of the experiments. For each service they are low and high load, overload by factors of
+// 2 and 5, a burst of overload, slow servers and servers that drop responses.
+func Workloads() []Workload {
+	var list []Workload
+	add := func(w Workload, suffix string, change func(*Workload)) {
+		w.Name += "-" + suffix
+		change(&w)
+		list = append(list, w)
 	}
-	for _, base := range []Load{Stock(), Lookup()} {
-		add(base, "calm", func(l *Load) { l.Use = 0.4 })
-		add(base, "busy", func(l *Load) { l.Use = 0.85 })
-		add(base, "twice", func(l *Load) { l.Use = 2 })
-		add(base, "fivefold", func(l *Load) { l.Use = 5 })
-		add(base, "burst", func(l *Load) { l.BurstUse, l.BurstFrom, l.BurstUntil = 1.5, 10*time.Second, 15*time.Second })
-		add(base, "slow", func(l *Load) {
-			l.Fault, l.FaultShare, l.FaultFrom, l.FaultUntil = Slow, 0.25, 8*time.Second, 20*time.Second
+	for _, base := range []Workload{StockWorkload(), LookupWorkload()} {
+		add(base, "calm", func(w *Workload) { w.OfferedLoad = 0.4 })
+		add(base, "busy", func(w *Workload) { w.OfferedLoad = 0.85 })
+		add(base, "twice", func(w *Workload) { w.OfferedLoad = 2 })
+		add(base, "fivefold", func(w *Workload) { w.OfferedLoad = 5 })
+		add(base, "burst", func(w *Workload) { w.BurstOfferedLoad, w.BurstFrom, w.BurstUntil = 1.5, 10*time.Second, 15*time.Second })
+		add(base, "slow", func(w *Workload) {
+			w.Fault, w.FaultShare, w.FaultFrom, w.FaultUntil = Slow, 0.25, 8*time.Second, 20*time.Second
 		})
-		add(base, "mute", func(l *Load) {
-			l.Fault, l.FaultShare, l.FaultFrom, l.FaultUntil = Mute, 0.25, 8*time.Second, 20*time.Second
+		add(base, "mute", func(w *Workload) {
+			w.Fault, w.FaultShare, w.FaultFrom, w.FaultUntil = Mute, 0.25, 8*time.Second, 20*time.Second
 		})
 	}
 	return list
 }
 
-// Policies returns the policies that experiments compare, the ideal first.
+// Policies returns the policies that the experiments compare, the ideal one first.
 func Policies() []Policy {
 	return []Policy{Ideal{}, Home{Hedges: true}, Home{}, LeastInFlight{Hosts: 1}, LeastInFlight{Hosts: 13}, AtRandom{}}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,5 +1,9 @@
-// Package model plays policies against backend servers in virtual time: slots, short queues, neighbours whose load shifts
-// within milliseconds, callers with a goal and a time limit, and faults. It ranks policies and tests them without a network.
+// Package model simulates load-balancing policies in virtual time, to compare and test them without a network.
+//
+// A workload describes a service: backend servers with a number of slots and a short queue, noisy neighbours that slow
+// servers down for fractions of a second, callers with a latency goal and a time-out, and faults of servers. The policies
+// are placement by a home, as the gateway does it with package placement, an ideal queue as the upper bound, and the
+// usual least-requests and random load balancing.
 package model
 
 import (
@@ -9,167 +13,184 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// FaultKind is what goes wrong with some of the servers.
+// FaultKind is a kind of fault of a backend server.
 type FaultKind int
 
-// The kinds of fault.
+// Kinds of faults.
 const (
-	// NoFault is a server in order.
+	// NoFault means that the server works normally.
 	NoFault FaultKind = iota
-	// Slow servers take several times as long, and do not say so.
+	// Slow means that requests take slowFaultFactor times as long, while the pace that the server reports does not show it.
 	Slow
-	// Mute servers run requests and lose a part of the answers.
+	// Mute means that the server runs requests but sends no response to a share of them, muteFaultDropShare.
 	Mute
 )
 
-// String returns the kind's name.
+// String implements fmt.Stringer.
 func (k FaultKind) String() string { return [...]string{"NoFault", "Slow", "Mute"}[k] }
 
-// Strengths of the faults.
+// Severity of the faults.
 const (
-	slowFactor = 5.0
-	muteShare  = 0.5
+	slowFaultFactor    = 5.0
+	muteFaultDropShare = 0.5
 )
 
-// Load is a service with its callers and its troubles.
-type Load struct {
-	Name    string
+// Workload describes a service with its backend servers, its callers and the disturbances to simulate.
+type Workload struct {
+	Name string
+	// Targets is the number of backend servers, and Slots the number of requests that each runs concurrently.
 	Targets int
 	Slots   int
-	// Work is the mean time of a request at the usual pace, and Spread the deviation of its logarithm.
-	Work   time.Duration
-	Spread float64
-	// Goal is when an answer stops being worth most; Patience is how long callers wait.
-	Goal     time.Duration
-	Patience time.Duration
-	// Use is the rate of requests, relative to what quiet servers carry.
-	Use float64
-	// BurstUse takes its place between BurstFrom and BurstUntil.
-	BurstUse              float64
+	// ServiceTime is the mean time that a request takes on an undisturbed server. Service times are log-normal, and
+	// ServiceTimeSigma is the standard deviation of their natural logarithm.
+	ServiceTime      time.Duration
+	ServiceTimeSigma float64
+	// LatencyGoal is the latency up to which a response has its full utility. CallerTimeout is how long callers wait.
+	LatencyGoal   time.Duration
+	CallerTimeout time.Duration
+	// OfferedLoad is the arrival rate of requests as a multiple of Capacity.
+	OfferedLoad float64
+	// BurstOfferedLoad replaces OfferedLoad between BurstFrom and BurstUntil.
+	BurstOfferedLoad      float64
 	BurstFrom, BurstUntil time.Duration
-	Length                time.Duration
-	// Travel is the way between two hosts, or a host and a server.
-	Travel time.Duration
-	// NoisyShare of the servers are Noise times slower; which ones is drawn anew every NoiseEvery, on average.
-	NoisyShare float64
-	Noise      float64
-	NoiseEvery time.Duration
-	// Crowding slows a run that starts when more than CrowdedShare of the slots are taken.
-	CrowdedShare float64
-	Crowding     float64
-	// Fault strikes FaultShare of the servers between FaultFrom and FaultUntil.
+	// Duration is how long requests arrive.
+	Duration time.Duration
+	// NetworkDelay is the one-way delay between two hosts, or between a host and a backend server.
+	NetworkDelay time.Duration
+	// NoisyShare is the mean share of servers slowed by noisy neighbours. A request takes NoisyPace times as long there.
+	// Whether a server is slowed is drawn anew at random times, NoiseInterval apart on average.
+	NoisyShare    float64
+	NoisyPace     float64
+	NoiseInterval time.Duration
+	// NearlyFullSlowdown multiplies the service time of a request that starts on a nearly full server, that is, one that has
+	// more than NearlyFullShare of its slots in use, this request included.
+	NearlyFullShare    float64
+	NearlyFullSlowdown float64
+	// Fault is the fault that FaultShare of the servers have between FaultFrom and FaultUntil.
 	Fault                 FaultKind
 	FaultShare            float64
 	FaultFrom, FaultUntil time.Duration
-	Repeatable            bool
-	Seed                  uint64
+	// Repeatable is set if a request may run more than once, so that it may be hedged.
+	Repeatable bool
+	// Seed is the seed of all random numbers.
+	Seed uint64
 }
 
-// warmUp is how long requests are not counted, so that policies know something.
-const warmUp = 2 * time.Second
+// warmUpDuration is the time at the start whose requests are not counted, because policies have not yet learned the state
+// of the servers.
+const warmUpDuration = 2 * time.Second
 
-// Result is how a policy did.
+// Result is the result of simulating a policy under a workload. Requests that arrive during the warm-up are not counted.
 type Result struct {
-	Policy  string
-	Load    string
-	Asked   int
-	InGoal  int
-	Late    int
+	Policy   string
+	Workload string
+	// Requests is the number of requests. Each of them is in one of the next four counts.
+	Requests int
+	// InGoal counts responses within the latency goal, and Late those after it but within the caller's time-out.
+	InGoal int
+	Late   int
+	// Refused counts requests that the policy or a full server refused, and Lost those that the caller gave up.
 	Refused int
 	Lost    int
-	// Worth is the share of the worth that was earned: 1 in the goal, lateWorth afterwards.
-	Worth float64
-	P50   time.Duration
-	P99   time.Duration
-	// Probes counts per target and second.
+	// Utility is the mean utility of a request: 1 for a response within the goal, lateUtility for a later one, else 0.
+	Utility float64
+	// P50 and P99 are quantiles of the latency of responses.
+	P50 time.Duration
+	P99 time.Duration
+	// Probes is the number of health probes per target and second.
 	Probes float64
-	// Repeats counts runs beyond the first, per request.
-	Repeats float64
-	// Held is the share of refused requests that waited for more than half of their patience before they were refused.
-	Held float64
+	// ExtraAttempts is the number of hedges, those during the warm-up included, per counted request. There are no retries
+	// in the simulation.
+	ExtraAttempts float64
+	// LateRefusalShare is the share of refused requests whose refusal came after more than half of the caller's time-out.
+	LateRefusalShare float64
 }
 
-// lateWorth is what an answer after the goal is worth.
-const lateWorth = 0.1
+// lateUtility is the utility of a response after the latency goal.
+const lateUtility = 0.1
 
-// simulation is one run of the model.
+// simulation is the state of one simulation.
 type simulation struct {
 	clock
-	load      Load
-	random    *rand.Rand
-	servers   []*server
-	result    Result
-	latencies *hdrhistogram.Histogram
-	last      uint64
-	repeats   int
-	probes    int
-	held      int
+	workload      Workload
+	random        *rand.Rand
+	servers       []*server
+	result        Result
+	latencies     *hdrhistogram.Histogram
+	lastID        uint64
+	extraAttempts int
+	probes        int
+	lateRefusals  int
 }
 
-// Play runs a policy against a load.
-func Play(p Policy, l Load) Result {
-	s := &simulation{load: l, random: rand.New(rand.NewPCG(l.Seed, 7)), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+// Simulate simulates a policy under a workload. The same arguments give the same result.
+func Simulate(p Policy, w Workload) Result {
+	s := &simulation{workload: w, random: rand.New(rand.NewPCG(w.Seed, 7)),
+		latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	s.servers = newServers(s)
-	s.result.Policy, s.result.Load = p.Name(), l.Name
-	player := start(s, p)
-	s.faults()
-	s.arrive(player)
-	s.run(s.length())
-	return s.total()
+	s.result.Policy, s.result.Workload = p.Name(), w.Name
+	b := newBalancer(s, p)
+	s.scheduleFaults()
+	s.scheduleArrivals(b)
+	s.runUntil(s.totalDuration())
+	return s.summarize()
 }
 
-// faults schedules the troubles of some servers.
-func (s *simulation) faults() {
-	struck := int(s.load.FaultShare * float64(len(s.servers)))
-	for _, server := range s.servers[:struck] {
-		s.after(s.load.FaultFrom, func() { server.fault = s.load.Fault })
-		s.after(s.load.FaultUntil, func() { server.fault = NoFault })
+// scheduleFaults schedules the start and the end of the faults.
+func (s *simulation) scheduleFaults() {
+	faulty := int(s.workload.FaultShare * float64(len(s.servers)))
+	for _, server := range s.servers[:faulty] {
+		s.schedule(s.workload.FaultFrom, func() { server.fault = s.workload.Fault })
+		s.schedule(s.workload.FaultUntil, func() { server.fault = NoFault })
 	}
 }
 
-// rate returns the requests a second at this moment.
-func (s *simulation) rate() float64 {
-	use := s.load.Use
-	if s.now >= s.load.BurstFrom && s.now < s.load.BurstUntil {
-		use = s.load.BurstUse
+// arrivalRate returns the current arrival rate in requests per second.
+func (s *simulation) arrivalRate() float64 {
+	offered := s.workload.OfferedLoad
+	if s.now >= s.workload.BurstFrom && s.now < s.workload.BurstUntil {
+		offered = s.workload.BurstOfferedLoad
 	}
-	return use * Capacity(s.load)
+	return offered * Capacity(s.workload)
 }
 
-// Capacity returns how many requests a second the quiet servers carry on average, all slots but the crowded ones in use.
-func Capacity(l Load) float64 {
-	free := 0
-	for n := 1; n <= l.Slots; n++ {
-		if float64(n) <= l.CrowdedShare*float64(l.Slots) {
-			free = n
+// Capacity returns the capacity of a service in requests per second. It counts the mean number of servers that are not
+// slowed by neighbours, and on each the slots that can be in use before it is nearly full.
+func Capacity(w Workload) float64 {
+	usable := 0
+	for n := 1; n <= w.Slots; n++ {
+		if float64(n) <= w.NearlyFullShare*float64(w.Slots) {
+			usable = n
 		}
 	}
-	return float64(l.Targets) * (1 - l.NoisyShare) * float64(max(1, free)) / l.Work.Seconds()
+	return float64(w.Targets) * (1 - w.NoisyShare) * float64(max(1, usable)) / w.ServiceTime.Seconds()
 }
 
-// arrive lets callers come until the load ends.
-func (s *simulation) arrive(p player) {
-	if s.now >= s.load.Length {
+// scheduleArrivals schedules the arrival of the next request, which schedules the one after it, until the workload ends.
+// Arrivals are a Poisson process.
+func (s *simulation) scheduleArrivals(b balancer) {
+	if s.now >= s.workload.Duration {
 		return
 	}
-	s.after(time.Duration(s.random.ExpFloat64()/s.rate()*float64(time.Second)), func() {
-		s.last++
-		j := &job{id: s.last, born: s.now, goal: s.now + s.load.Goal, deadline: s.now + s.load.Patience, work: workOf(s.random, s.load)}
-		if s.now >= warmUp {
-			s.result.Asked++
+	s.schedule(time.Duration(s.random.ExpFloat64()/s.arrivalRate()*float64(time.Second)), func() {
+		s.lastID++
+		j := &job{id: s.lastID, arrivedAt: s.now, goal: s.now + s.workload.LatencyGoal, deadline: s.now + s.workload.CallerTimeout,
+			serviceTime: drawServiceTime(s.random, s.workload)}
+		if s.now >= warmUpDuration {
+			s.result.Requests++
 		}
-		p.arrived(j)
-		s.arrive(p)
+		b.submit(j)
+		s.scheduleArrivals(b)
 	})
 }
 
-// answered counts an answer that has reached the caller.
-func (s *simulation) answered(j *job) {
-	if j.ended {
+// recordResponse records that a response has reached the caller.
+func (s *simulation) recordResponse(j *job) {
+	if j.finished {
 		return
 	}
-	j.ended = true
-	if j.born < warmUp || s.now > j.deadline {
+	j.finished = true
+	if j.arrivedAt < warmUpDuration || s.now > j.deadline {
 		return
 	}
 	if s.now <= j.goal {
@@ -177,36 +198,38 @@
 	} else {
 		s.result.Late++
 	}
-	// The histogram holds a minute; callers wait for seconds.
-	_ = s.latencies.RecordValue(int64((s.now - j.born) / time.Microsecond))
+	// RecordValue fails above a minute, which latencies do not reach, since callers time out after seconds.
+	_ = s.latencies.RecordValue(int64((s.now - j.arrivedAt) / time.Microsecond))
 }
 
-// refused counts a request that was turned away.
-func (s *simulation) refused(j *job) {
-	if !j.ended && j.born >= warmUp {
+// recordRefusal records that a request was refused.
+func (s *simulation) recordRefusal(j *job) {
+	if !j.finished && j.arrivedAt >= warmUpDuration {
 		s.result.Refused++
-		if 2*(s.now-j.born) > s.load.Patience {
-			s.held++
+		if 2*(s.now-j.arrivedAt) > s.workload.CallerTimeout {
+			s.lateRefusals++
 		}
 	}
-	j.ended = true
+	j.finished = true
 }
 
-// length is how long a run takes: until the last caller has its answer or gives up.
-func (s *simulation) length() time.Duration { return s.load.Length + s.load.Patience }
+// totalDuration returns the virtual time of the simulation, which ends when the last caller times out.
+func (s *simulation) totalDuration() time.Duration {
+	return s.workload.Duration + s.workload.CallerTimeout
+}
 
-func (s *simulation) total() Result {
+func (s *simulation) summarize() Result {
 	r := s.result
-	r.Lost = r.Asked - r.InGoal - r.Late - r.Refused
-	if r.Asked > 0 {
-		r.Worth = (float64(r.InGoal) + lateWorth*float64(r.Late)) / float64(r.Asked)
-		r.Repeats = float64(s.repeats) / float64(r.Asked)
+	r.Lost = r.Requests - r.InGoal - r.Late - r.Refused
+	if r.Requests > 0 {
+		r.Utility = (float64(r.InGoal) + lateUtility*float64(r.Late)) / float64(r.Requests)
+		r.ExtraAttempts = float64(s.extraAttempts) / float64(r.Requests)
 	}
 	if r.Refused > 0 {
-		r.Held = float64(s.held) / float64(r.Refused)
+		r.LateRefusalShare = float64(s.lateRefusals) / float64(r.Refused)
 	}
 	r.P50 = time.Duration(s.latencies.ValueAtQuantile(50)) * time.Microsecond
 	r.P99 = time.Duration(s.latencies.ValueAtQuantile(99)) * time.Microsecond
-	r.Probes = float64(s.probes) / float64(s.load.Targets) / s.length().Seconds()
+	r.Probes = float64(s.probes) / float64(s.workload.Targets) / s.totalDuration().Seconds()
 	return r
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -8,105 +8,107 @@
 	"github.com/matryer/is"
 )
 
-// find returns a load by its name.
-func find(t *testing.T, name string) Load {
+// workloadNamed returns the workload with a name.
+func workloadNamed(t *testing.T, name string) Workload {
 	t.Helper()
-	for _, l := range Loads() {
-		if l.Name == name {
-			return l
+	for _, w := range Workloads() {
+		if w.Name == name {
+			return w
 		}
 	}
-	t.Fatalf("no load is named %s", name)
-	return Load{}
+	t.Fatalf("there is no workload named %q", name)
+	return Workload{}
 }
 
-// inGoal is the part of all requests that a policy answered within their goal.
-func inGoal(r Result) float64 { return float64(r.InGoal) / float64(max(1, r.Asked)) }
+// inGoalShare returns the share of all requests that were answered within the latency goal.
+func inGoalShare(r Result) float64 { return float64(r.InGoal) / float64(max(1, r.Requests)) }
 
-// TestRunsRepeat plays a load twice: the same seed must give the same result.
+// TestRunsRepeat simulates a workload twice: the same seed must give the same result.
 func TestRunsRepeat(t *testing.T) {
 	is := is.New(t)
-	l := find(t, "stock-burst")
-	l.Length = 12 * time.Second
-	is.Equal(Play(Home{Hedges: true}, l), Play(Home{Hedges: true}, l))
+	w := workloadNamed(t, "stock-burst")
+	w.Duration = 12 * time.Second
+	is.Equal(Simulate(Home{Hedges: true}, w), Simulate(Home{Hedges: true}, w))
 }
 
-// TestHomeUnderOverload replays twice and five times what the servers carry: as many requests as the ideal queue answers
-// in time, to 95 in 100, must be.
+// TestHomeUnderOverload offers two and five times the capacity. The home must answer at least 95% as many requests within
+// the latency goal as the ideal queue does, and must not exceed the retry budget.
 func TestHomeUnderOverload(t *testing.T) {
 	for _, name := range []string{"stock-twice", "stock-fivefold", "lookup-twice", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := find(t, name)
-			l.Length = 6 * time.Second
-			ideal, home := Play(Ideal{}, l), Play(Home{Hedges: true}, l)
+			w := workloadNamed(t, name)
+			w.Duration = 6 * time.Second
+			ideal, home := Simulate(Ideal{}, w), Simulate(Home{Hedges: true}, w)
 			t.Logf("ideal %+v", ideal)
 			t.Logf("home %+v", home)
-			is.True(inGoal(home) >= 0.95*inGoal(ideal))
-			is.True(home.Repeats <= modelRatio+modelSlack/float64(home.Asked)) // within the retry budget
+			is.True(inGoalShare(home) >= 0.95*inGoalShare(ideal))
+			is.True(home.ExtraAttempts <= retryBudgetRatio+retryBudgetSlack/float64(home.Requests)) // within the retry budget
 		})
 	}
 }
 
-// TestHomeBeatsCounts replays every other load: the home must earn more than any policy that sends at once.
+// TestHomeBeatsCounts simulates all workloads without lasting overload. The home must reach a higher utility than each
+// policy that sends requests immediately.
 func TestHomeBeatsCounts(t *testing.T) {
-	for _, l := range Loads() {
-		if strings.HasSuffix(l.Name, "twice") || strings.HasSuffix(l.Name, "fivefold") {
+	for _, w := range Workloads() {
+		if strings.HasSuffix(w.Name, "twice") || strings.HasSuffix(w.Name, "fivefold") {
 			continue
 		}
-		t.Run(l.Name, func(t *testing.T) {
+		t.Run(w.Name, func(t *testing.T) {
 			is := is.New(t)
-			l.Length = 14 * time.Second
-			home := Play(Home{Hedges: true}, l)
+			w.Duration = 14 * time.Second
+			home := Simulate(Home{Hedges: true}, w)
 			t.Logf("home %+v", home)
 			for _, p := range []Policy{LeastInFlight{Hosts: 1}, LeastInFlight{Hosts: 13}, AtRandom{}} {
-				other := Play(p, l)
+				other := Simulate(p, w)
 				t.Logf("%s %+v", p.Name(), other)
-				is.True(home.Worth > other.Worth)
+				is.True(home.Utility > other.Utility)
 			}
 		})
 	}
 }
 
-// TestHomeNearIdealLookup and TestHomeNearIdealStock hold p99 at 85 in 100 of what the servers carry against the ideal queue's.
-func TestHomeNearIdealLookup(t *testing.T) { nearIdeal(t, "lookup-busy") }
-func TestHomeNearIdealStock(t *testing.T)  { nearIdeal(t, "stock-busy") }
+// TestHomeNearIdealLookup and TestHomeNearIdealStock check that at 85% of the capacity the p99 latency of the home is at
+// most 1.15 times that of the ideal queue.
+func TestHomeNearIdealLookup(t *testing.T) { testNearIdeal(t, "lookup-busy") }
+func TestHomeNearIdealStock(t *testing.T)  { testNearIdeal(t, "stock-busy") }
 
-func nearIdeal(t *testing.T, name string) {
+func testNearIdeal(t *testing.T, name string) {
 	is := is.New(t)
-	l := find(t, name)
-	ideal, home := Play(Ideal{}, l), Play(Home{Hedges: true}, l)
+	w := workloadNamed(t, name)
+	ideal, home := Simulate(Ideal{}, w), Simulate(Home{Hedges: true}, w)
 	t.Logf("ideal p99 %v, home p99 %v, ratio %.2f", ideal.P99, home.P99, float64(home.P99)/float64(ideal.P99))
 	is.True(float64(home.P99) <= 1.15*float64(ideal.P99))
 }
 
-// TestProbesWithinBudget bounds the probes under every load.
+// TestProbesWithinBudget checks that under each workload a target gets at most 20 probes per second on average.
 func TestProbesWithinBudget(t *testing.T) {
-	for _, l := range Loads() {
-		t.Run(l.Name, func(t *testing.T) {
+	for _, w := range Workloads() {
+		t.Run(w.Name, func(t *testing.T) {
 			is := is.New(t)
-			l.Length = 8 * time.Second
-			r := Play(Home{Hedges: true}, l)
-			t.Logf("%.1f probes a target and second", r.Probes)
+			w.Duration = 8 * time.Second
+			r := Simulate(Home{Hedges: true}, w)
+			t.Logf("%.1f probes per target and second", r.Probes)
 			is.True(r.Probes <= 20)
 		})
 	}
 }
 
-// TestRefusesEarly replays overload: what can't be served must be refused well before its time limit. At most one in ten of
-// the refused may have waited for more than half of it.
+// TestRefusesEarly checks that under overload, requests that cannot be served are refused early: at most 10% of the
+// refused requests may have waited for more than half of the caller's time-out.
 func TestRefusesEarly(t *testing.T) {
 	for _, name := range []string{"stock-burst", "lookup-burst", "stock-twice", "lookup-twice", "stock-fivefold", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := find(t, name)
-			if l.Use > 1 {
-				l.Length = 6 * time.Second
+			w := workloadNamed(t, name)
+			if w.OfferedLoad > 1 {
+				w.Duration = 6 * time.Second
 			}
-			r := Play(Home{Hedges: true}, l)
-			t.Logf("%d refused, %.3f of them after half of their patience", r.Refused, r.Held)
+			r := Simulate(Home{Hedges: true}, w)
+			t.Logf("%d refused, %.3f of them after half of the caller's time-out", r.Refused, r.LateRefusalShare)
 			is.True(r.Refused > 0)
-			is.True(r.Held <= 0.1)
+			is.True(r.LateRefusalShare <= 0.1)
 		})
 	}
 }
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -9,26 +9,28 @@
 	"briarcroft/internal/placement"
 )
 
-// Policy is one way of steering: Ideal, Home, LeastInFlight or AtRandom.
+// Policy is a load-balancing policy: Ideal, Home, LeastInFlight or AtRandom.
 type Policy interface {
 	Name() string
 	policy()
 }
 
-// Ideal is one queue that knows every server's pace at once and has no way to travel. Like all others it does not know
-// how much work a request is.
+// Ideal is an upper bound that cannot be built: a single queue that always knows the current pace, load and fault of
+// every server and has no network delay. Like the other policies, it does not know how long a particular request takes.
 type Ideal struct{}
 
-// Home places requests by one home, as gateways do.
+// Home places all requests of the service in its home, with the code that the gateway runs, package placement. A home is
+// the entry host that decides for all entry hosts which server runs which request of a service.
 type Home struct {
-	// Hedges allows second runs beside late ones.
+	// Hedges allows hedging: a second run on another server if the first takes longer than expected.
 	Hedges bool
 }
 
-// LeastInFlight sends each request at once to the server with the fewest requests, by the counts of each of several hosts.
+// LeastInFlight sends each request immediately to the server with the fewest requests in flight. Requests are spread at
+// random over as many entry hosts as Hosts says, each of which counts only the requests that it sent itself.
 type LeastInFlight struct{ Hosts int }
 
-// AtRandom sends each request at once to any server.
+// AtRandom sends each request immediately to a random server.
 type AtRandom struct{}
 
 // Name implements Policy.
@@ -58,200 +60,208 @@
 func (LeastInFlight) policy() {}
 func (AtRandom) policy()      {}
 
-// player carries out a policy.
-type player interface{ arrived(j *job) }
+// balancer runs a policy in a simulation. Its method submit is called for each request when it arrives.
+type balancer interface{ submit(j *job) }
 
-func start(s *simulation, p Policy) player {
+func newBalancer(s *simulation, p Policy) balancer {
 	switch p := p.(type) {
 	case Ideal:
-		return &idealPlayer{sim: s}
+		return &idealBalancer{sim: s}
 	case Home:
-		return newHomePlayer(s, p)
+		return newHomeBalancer(s, p)
 	case LeastInFlight:
-		return newDirectPlayer(s, p.Hosts)
+		return newDirectBalancer(s, p.Hosts)
 	}
-	return newDirectPlayer(s, 0)
+	return newDirectBalancer(s, 0)
 }
 
-// idealPlayer keeps one queue and starts requests where they end soonest.
-type idealPlayer struct {
-	sim   *simulation
-	queue []*job
-	armed bool
+// idealBalancer runs Ideal. It starts each request on the server where it is expected to end first.
+type idealBalancer struct {
+	sim      *simulation
+	queue    []*job
+	timerSet bool
 }
 
-func (p *idealPlayer) arrived(j *job) {
-	p.queue = append(p.queue, j)
-	p.dispatch()
+func (b *idealBalancer) submit(j *job) {
+	b.queue = append(b.queue, j)
+	b.dispatch()
 }
 
-// dispatch starts what can meet its goal; the rest waits until half of the slots are free.
-func (p *idealPlayer) dispatch() {
-	now := p.sim.now
-	waiting := p.queue[:0]
-	for _, j := range p.queue {
+// dispatch starts queued requests that are expected to meet their goal. A request that can no longer meet it is started
+// only while at least half of all slots are free. Requests are refused at their deadlines. While requests are queued,
+// dispatch runs every millisecond.
+func (b *idealBalancer) dispatch() {
+	now := b.sim.now
+	remaining := b.queue[:0]
+	for _, j := range b.queue {
 		switch {
 		case now > j.deadline:
-			p.sim.refused(j)
-		case !p.begin(j):
-			waiting = append(waiting, j)
+			b.sim.recordRefusal(j)
+		case !b.tryStart(j):
+			remaining = append(remaining, j)
 		}
 	}
-	p.queue = waiting
-	if len(p.queue) > 0 && !p.armed {
-		p.armed = true
-		p.sim.after(time.Millisecond, func() {
-			p.armed = false
-			p.dispatch()
+	b.queue = remaining
+	if len(b.queue) > 0 && !b.timerSet {
+		b.timerSet = true
+		b.sim.schedule(time.Millisecond, func() {
+			b.timerSet = false
+			b.dispatch()
 		})
 	}
 }
 
-func (p *idealPlayer) begin(j *job) bool {
-	best, took, free, slots := (*server)(nil), 0.0, 0, 0
-	for _, s := range p.sim.servers {
-		slots += p.sim.load.Slots
-		free += p.sim.load.Slots - len(s.running)
-		if s.fault == Mute || len(s.running) >= p.sim.load.Slots {
+// tryStart starts the request and returns true, or returns false if the request must stay in the queue.
+func (b *idealBalancer) tryStart(j *job) bool {
+	best, shortest, freeSlots, slots := (*server)(nil), 0.0, 0, 0
+	for _, s := range b.sim.servers {
+		slots += b.sim.workload.Slots
+		freeSlots += b.sim.workload.Slots - len(s.running)
+		if s.fault == Mute || len(s.running) >= b.sim.workload.Slots {
 			continue
 		}
-		if t := s.expected(); best == nil || t < took {
-			best, took = s, t
+		if t := s.expectedServiceTime(); best == nil || t < shortest {
+			best, shortest = s, t
 		}
 	}
 	if best == nil {
 		return false
 	}
-	inGoal := p.sim.now+time.Duration(took*float64(time.Second)) <= j.goal
-	hopeless := p.sim.now+p.sim.load.Work > j.goal
-	if !inGoal && (!hopeless || 2*free < slots) {
+	meetsGoal := b.sim.now+time.Duration(shortest*float64(time.Second)) <= j.goal
+	late := b.sim.now+b.sim.workload.ServiceTime > j.goal
+	if !meetsGoal && (!late || 2*freeSlots < slots) {
 		return false
 	}
-	best.accept(&run{job: j, done: func(bool) {
-		p.sim.answered(j)
-		p.sim.after(0, p.dispatch)
+	best.accept(&run{job: j, onResponse: func(bool) {
+		b.sim.recordResponse(j)
+		b.sim.schedule(0, b.dispatch)
 	}})
 	return true
 }
 
-// expected returns what a request of mean work would take if it started now, in seconds.
-func (s *server) expected() float64 {
-	t := s.sim.load.Work.Seconds() * s.pace
-	if float64(len(s.running)+1) > s.sim.load.CrowdedShare*float64(s.sim.load.Slots) {
-		t *= s.sim.load.Crowding
+// expectedServiceTime returns the time in seconds that a request of mean service time would take if it started now.
+func (s *server) expectedServiceTime() float64 {
+	t := s.sim.workload.ServiceTime.Seconds() * s.pace
+	if float64(len(s.running)+1) > s.sim.workload.NearlyFullShare*float64(s.sim.workload.Slots) {
+		t *= s.sim.workload.NearlyFullSlowdown
 	}
 	if s.fault == Slow {
-		t *= slowFactor
+		t *= slowFaultFactor
 	}
 	return t
 }
 
-// directPlayer sends requests on at once, by own counts of each host, or at random without any.
-type directPlayer struct {
+// directBalancer runs LeastInFlight and AtRandom.
+type directBalancer struct {
 	sim *simulation
-	// counts holds the requests in flight, by host and server.
-	counts [][]int
+	// inFlight holds the number of requests in flight by host and server. It is empty for AtRandom.
+	inFlight [][]int
 }
 
-func newDirectPlayer(s *simulation, hosts int) *directPlayer {
-	p := &directPlayer{sim: s}
+func newDirectBalancer(s *simulation, hosts int) *directBalancer {
+	b := &directBalancer{sim: s}
 	for range hosts {
-		p.counts = append(p.counts, make([]int, len(s.servers)))
+		b.inFlight = append(b.inFlight, make([]int, len(s.servers)))
 	}
-	return p
+	return b
 }
 
-func (p *directPlayer) arrived(j *job) {
-	index, done := p.choose()
-	server := p.sim.servers[index]
-	p.sim.after(p.sim.load.Travel, func() {
-		taken := server.accept(&run{job: j, done: func(bool) {
-			p.sim.after(p.sim.load.Travel, func() {
-				done()
-				p.sim.answered(j)
+func (b *directBalancer) submit(j *job) {
+	index, release := b.chooseServer()
+	server := b.sim.servers[index]
+	b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+		accepted := server.accept(&run{job: j, onResponse: func(bool) {
+			b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+				release()
+				b.sim.recordResponse(j)
 			})
 		}})
-		if !taken {
-			done()
-			p.sim.refused(j)
+		if !accepted {
+			release()
+			b.sim.recordRefusal(j)
 		}
 	})
 }
 
-func (p *directPlayer) choose() (int, func()) {
-	first := p.sim.random.IntN(len(p.sim.servers))
-	if len(p.counts) == 0 {
+// chooseServer returns the index of a server and a function to call once the request has ended. Of servers with equally
+// few requests in flight it takes the first one after a random start.
+func (b *directBalancer) chooseServer() (int, func()) {
+	first := b.sim.random.IntN(len(b.sim.servers))
+	if len(b.inFlight) == 0 {
 		return first, func() {}
 	}
-	counts := p.counts[p.sim.random.IntN(len(p.counts))]
+	inFlight := b.inFlight[b.sim.random.IntN(len(b.inFlight))]
 	best := first
-	for i := range counts {
-		if n := (first + i) % len(counts); counts[n] < counts[best] {
+	for i := range inFlight {
+		if n := (first + i) % len(inFlight); inFlight[n] < inFlight[best] {
 			best = n
 		}
 	}
-	counts[best]++
-	return best, func() { counts[best]-- }
+	inFlight[best]++
+	return best, func() { inFlight[best]-- }
 }
 
-// Retry budget of the model's service.
+// Parameters of the simulated home.
 const (
-	modelRatio  = 0.18
-	modelSlack  = 22
-	modelWindow = 10 * time.Second
-	// modelTick is how often the home's timers run.
-	modelTick = 10 * time.Millisecond
+	// The retry budget allows 0.18 extra attempts per request, and 22 more, in a window of 10 s.
+	retryBudgetRatio  = 0.18
+	retryBudgetSlack  = 22
+	retryBudgetWindow = 10 * time.Second
+	// homeTickInterval is the period at which Home.Tick is called.
+	homeTickInterval = 10 * time.Millisecond
 )
 
-// homePlayer drives a placement.Home over simulated travel.
-type homePlayer struct {
+// homeBalancer runs Home. It simulates the messages between the entry hosts, the home and the servers, and their delays.
+type homeBalancer struct {
 	sim  *simulation
 	home *placement.Home
+	// jobs holds all requests by ID. runs holds the runs that servers accepted, by the ID of the request, until the first
+	// response.
 	jobs map[uint64]*job
 	runs map[uint64][]*run
 }
 
-func newHomePlayer(s *simulation, p Home) *homePlayer {
-	h := &homePlayer{sim: s, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
-	budget := placement.RetryBudget{Ratio: modelRatio, Slack: modelSlack, Window: modelWindow}
+func newHomeBalancer(sim *simulation, p Home) *homeBalancer {
+	b := &homeBalancer{sim: sim, jobs: map[uint64]*job{}, runs: map[uint64][]*run{}}
+	budget := placement.RetryBudget{Ratio: retryBudgetRatio, Slack: retryBudgetSlack, Window: retryBudgetWindow}
 	if !p.Hedges {
-		budget = placement.RetryBudget{Window: modelWindow}
+		budget = placement.RetryBudget{Window: retryBudgetWindow}
 	}
-	h.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(s.load.Seed, 9)), Budget: budget, OnVerdict: h.notify})
-	h.home.SetPrimary(true)
+	b.home = placement.New(placement.Config{Random: rand.New(rand.NewPCG(sim.workload.Seed, 9)), Budget: budget, OnVerdict: b.onVerdict})
+	b.home.SetPrimary(true)
 	var targets []placement.Target
-	for _, t := range s.servers {
-		targets = append(targets, placement.Target{Name: t.name, Address: t.name, Slots: s.load.Slots})
+	for _, t := range sim.servers {
+		targets = append(targets, placement.Target{Name: t.name, Address: t.name, Slots: sim.workload.Slots})
 	}
 	slices.SortFunc(targets, func(a, b placement.Target) int { return cmp.Compare(a.Name, b.Name) })
-	h.home.SetTargets(0, targets)
-	h.tick()
-	return h
+	b.home.SetTargets(0, targets)
+	b.tick()
+	return b
 }
 
-func (h *homePlayer) tick() {
-	h.home.Tick(h.sim.now)
-	h.probe()
-	h.sim.after(modelTick, h.tick)
+func (b *homeBalancer) tick() {
+	b.home.Tick(b.sim.now)
+	b.sendProbes()
+	b.sim.schedule(homeTickInterval, b.tick)
 }
 
-// probe sends the probes that are due.
-func (h *homePlayer) probe() {
-	for _, p := range h.home.DueProbes(h.sim.now) {
-		server := h.server(p.Target)
-		h.sim.probes++
-		h.sim.after(h.sim.load.Travel, func() {
-			load := server.report()
-			h.sim.after(h.sim.load.Travel, func() {
-				h.home.RecordProbe(h.sim.now, server.name, placement.ProbeHealthy, &load)
-				h.probe()
+// sendProbes sends the health probes that are due.
+func (b *homeBalancer) sendProbes() {
+	for _, p := range b.home.DueProbes(b.sim.now) {
+		server := b.serverByName(p.Target)
+		b.sim.probes++
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+			report := server.loadReport()
+			b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+				b.home.RecordProbe(b.sim.now, server.name, placement.ProbeHealthy, &report)
+				b.sendProbes()
 			})
 		})
 	}
 }
 
-func (h *homePlayer) server(name string) *server {
-	for _, s := range h.sim.servers {
+func (b *homeBalancer) serverByName(name string) *server {
+	for _, s := range b.sim.servers {
 		if s.name == name {
 			return s
 		}
@@ -259,77 +269,79 @@
 	return nil
 }
 
-func (h *homePlayer) arrived(j *job) {
-	h.jobs[j.id] = j
-	h.sim.after(h.sim.load.Travel, func() { h.ask(j, nil) })
+func (b *homeBalancer) submit(j *job) {
+	b.jobs[j.id] = j
+	b.sim.schedule(b.sim.workload.NetworkDelay, func() { b.requestPlacement(j, nil) })
 }
 
-func (h *homePlayer) ask(j *job, tried []string) {
-	h.home.Submit(h.sim.now, &placement.Request{
-		ID: placement.RequestID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: h.sim.load.Repeatable, Tried: tried,
+// requestPlacement submits a request to the home.
+func (b *homeBalancer) requestPlacement(j *job, tried []string) {
+	b.home.Submit(b.sim.now, &placement.Request{
+		ID: placement.RequestID{Number: j.id}, Class: "model", Goal: j.goal, Deadline: j.deadline, Repeatable: b.sim.workload.Repeatable, Tried: tried,
 	})
-	h.probe()
+	b.sendProbes()
 }
 
-// notify carries a verdict to the host that asked.
-func (h *homePlayer) notify(r *placement.Request, v placement.Verdict) {
-	j := h.jobs[r.ID.Number]
+// onVerdict sends a verdict of the home to the host that submitted the request. The host then sends the request to the
+// target, which takes a second network delay.
+func (b *homeBalancer) onVerdict(r *placement.Request, v placement.Verdict) {
+	j := b.jobs[r.ID.Number]
 	switch v := v.(type) {
 	case placement.Placed:
-		h.sim.after(2*h.sim.load.Travel, func() { h.send(j, v.Target) })
+		b.sim.schedule(2*b.sim.workload.NetworkDelay, func() { b.send(j, v.Target) })
 	case placement.Hedge:
-		h.sim.repeats++
-		h.sim.after(2*h.sim.load.Travel, func() { h.send(j, v.Target) })
+		b.sim.extraAttempts++
+		b.sim.schedule(2*b.sim.workload.NetworkDelay, func() { b.send(j, v.Target) })
 	case placement.Refused:
-		h.sim.after(h.sim.load.Travel, func() { h.sim.refused(j) })
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() { b.sim.recordRefusal(j) })
 	}
 }
 
-// send offers the request to the server, as the host does.
-func (h *homePlayer) send(j *job, name string) {
-	server := h.server(name)
-	if j.ended {
-		h.tell(j, name, placement.OutcomeCanceled, 0, nil)
+// send hands a request to the target as the host does, unless it has been answered meanwhile.
+func (b *homeBalancer) send(j *job, target string) {
+	server := b.serverByName(target)
+	if j.finished {
+		b.reportRunEnd(j, target, placement.OutcomeCanceled, 0, nil)
 		return
 	}
-	sent := h.sim.now
+	sent := b.sim.now
 	r := &run{job: j}
-	r.done = func(bool) {
-		load := server.report()
-		h.sim.after(h.sim.load.Travel, func() {
-			first := !j.ended
-			h.sim.answered(j)
-			h.tell(j, name, placement.OutcomeAnswered, h.sim.now-sent, &load)
-			if first {
-				h.cancelOthers(j, r)
+	r.onResponse = func(bool) {
+		report := server.loadReport()
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+			isFirst := !j.finished
+			b.sim.recordResponse(j)
+			b.reportRunEnd(j, target, placement.OutcomeAnswered, b.sim.now-sent, &report)
+			if isFirst {
+				b.cancelOthers(j, r)
 			}
 		})
 	}
 	if !server.accept(r) {
-		load := server.report()
-		h.tell(j, name, placement.OutcomeNotRun, 0, &load)
-		h.sim.refused(j)
+		report := server.loadReport()
+		b.reportRunEnd(j, target, placement.OutcomeNotRun, 0, &report)
+		b.sim.recordRefusal(j)
 		return
 	}
-	h.runs[j.id] = append(h.runs[j.id], r)
+	b.runs[j.id] = append(b.runs[j.id], r)
 }
 
-// tell reports the end of a run to the home.
-func (h *homePlayer) tell(j *job, name string, outcome placement.Outcome, took time.Duration, load *placement.LoadReport) {
-	h.sim.after(h.sim.load.Travel, func() {
-		h.home.RunEnded(h.sim.now, placement.RunEnd{ID: placement.RequestID{Number: j.id}, Target: name, Outcome: outcome, Duration: took, Load: load})
-		h.probe()
+// reportRunEnd reports the end of a run to the home, which receives it after the network delay.
+func (b *homeBalancer) reportRunEnd(j *job, target string, outcome placement.Outcome, duration time.Duration, report *placement.LoadReport) {
+	b.sim.schedule(b.sim.workload.NetworkDelay, func() {
+		b.home.RunEnded(b.sim.now, placement.RunEnd{ID: placement.RequestID{Number: j.id}, Target: target, Outcome: outcome, Duration: duration, Load: report})
+		b.sendProbes()
 	})
 }
 
-// cancelOthers closes the connections of runs that came second.
-func (h *homePlayer) cancelOthers(j *job, winner *run) {
-	for _, r := range h.runs[j.id] {
+// cancelOthers cancels the runs of a request other than the one that was answered first.
+func (b *homeBalancer) cancelOthers(j *job, winner *run) {
+	for _, r := range b.runs[j.id] {
 		if r == winner {
 			continue
 		}
-		h.sim.after(h.sim.load.Travel, func() { r.server.cancel(r) })
-		h.tell(j, r.server.name, placement.OutcomeCanceled, 0, nil)
+		b.sim.schedule(b.sim.workload.NetworkDelay, func() { r.server.cancel(r) })
+		b.reportRunEnd(j, r.server.name, placement.OutcomeCanceled, 0, nil)
 	}
-	delete(h.runs, j.id)
+	delete(b.runs, j.id)
 }
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -13,121 +13,128 @@
 // job is one request of a caller.
 type job struct {
 	id             uint64
-	born           time.Duration
+	arrivedAt      time.Duration
 	goal, deadline time.Duration
-	work           float64
-	ended          bool
+	// serviceTime is the time in seconds that the request takes on an undisturbed server.
+	serviceTime float64
+	// finished is set once the caller has received a response or a refusal.
+	finished bool
 }
 
-// server is one backend server: so many slots and a short queue, on a machine that it shares with noisy neighbours.
+// server is a backend server. It runs a limited number of requests concurrently and queues a few more.
 type server struct {
-	sim     *simulation
-	name    string
-	index   int
+	sim   *simulation
+	name  string
+	index int
+	// pace is the factor by which noisy neighbours lengthen service times at present, at least 1.
 	pace    float64
 	running []*run
-	waiting []*run
+	queued  []*run
 	fault   FaultKind
 }
 
-// run is one request at one server.
+// run is one attempt of a request on a server.
 type run struct {
-	job     *job
-	server  *server
-	started time.Duration
-	ended   bool
-	// done is told how the run ended, at the server and at its time.
-	done func(answered bool)
+	job       *job
+	server    *server
+	startedAt time.Duration
+	finished  bool
+	// onResponse is called when the server sends the response, with true. Dropped and canceled runs do not call it.
+	onResponse func(answered bool)
 }
 
-// accept takes a run, or reports that it is full.
+// accept starts or queues a run. It returns false if all slots are in use and the queue, which holds two runs per slot,
+// is full.
 func (s *server) accept(r *run) bool {
 	r.server = s
 	switch {
-	case len(s.running) < s.sim.load.Slots:
-		s.begin(r)
-	case len(s.waiting) < 2*s.sim.load.Slots:
-		s.waiting = append(s.waiting, r)
+	case len(s.running) < s.sim.workload.Slots:
+		s.start(r)
+	case len(s.queued) < 2*s.sim.workload.Slots:
+		s.queued = append(s.queued, r)
 	default:
 		return false
 	}
 	return true
 }
 
-// begin starts a run. What it takes is settled at its start, by the machine's pace and by how full the server is.
-func (s *server) begin(r *run) {
-	load := s.sim.load
+// start starts a run. The pace, the occupied slots and the fault of the server at this time determine its duration; later
+// changes do not.
+func (s *server) start(r *run) {
+	workload := s.sim.workload
 	s.running = append(s.running, r)
-	r.started = s.sim.now
+	r.startedAt = s.sim.now
 	factor := s.pace
-	if float64(len(s.running)) > load.CrowdedShare*float64(load.Slots) {
-		factor *= load.Crowding
+	if float64(len(s.running)) > workload.NearlyFullShare*float64(workload.Slots) {
+		factor *= workload.NearlyFullSlowdown
 	}
 	if s.fault == Slow {
-		factor *= slowFactor
+		factor *= slowFaultFactor
 	}
-	s.sim.after(time.Duration(r.job.work*factor*float64(time.Second)), func() { s.end(r) })
+	s.sim.schedule(time.Duration(r.job.serviceTime*factor*float64(time.Second)), func() { s.finish(r) })
 }
 
-// end finishes a run; a mute server loses every other answer.
-func (s *server) end(r *run) {
-	if r.ended {
+// finish ends a run and sends the response. A server with the fault Mute drops a share of the responses.
+func (s *server) finish(r *run) {
+	if r.finished {
 		return
 	}
-	r.ended = true
-	lost := s.fault == Mute && s.sim.random.Float64() < muteShare
-	if !lost {
-		r.done(true)
+	r.finished = true
+	dropped := s.fault == Mute && s.sim.random.Float64() < muteFaultDropShare
+	if !dropped {
+		r.onResponse(true)
 	}
-	s.free(r)
+	s.release(r)
 }
 
-// cancel drops a run whose connection was closed.
+// cancel ends a run whose connection was closed by the host, and frees its slot.
 func (s *server) cancel(r *run) {
-	if r.ended {
+	if r.finished {
 		return
 	}
-	r.ended = true
-	s.free(r)
+	r.finished = true
+	s.release(r)
 }
 
-func (s *server) free(r *run) {
-	same := func(other *run) bool { return other == r }
-	s.waiting = slices.DeleteFunc(s.waiting, same)
-	s.running = slices.DeleteFunc(s.running, same)
-	for len(s.waiting) > 0 && len(s.running) < s.sim.load.Slots {
-		next := s.waiting[0]
-		s.waiting = s.waiting[1:]
-		s.begin(next)
+// release frees the slot or queue place of a run and starts queued runs.
+func (s *server) release(r *run) {
+	isRun := func(other *run) bool { return other == r }
+	s.queued = slices.DeleteFunc(s.queued, isRun)
+	s.running = slices.DeleteFunc(s.running, isRun)
+	for len(s.queued) > 0 && len(s.running) < s.sim.workload.Slots {
+		next := s.queued[0]
+		s.queued = s.queued[1:]
+		s.start(next)
 	}
 }
 
-// report is what the server says of its load.
-func (s *server) report() placement.LoadReport {
-	return placement.LoadReport{Running: len(s.running), Waiting: len(s.waiting), Slots: s.sim.load.Slots, Pace: s.pace}
+// loadReport returns the load report that the server sends with responses and probes.
+func (s *server) loadReport() placement.LoadReport {
+	return placement.LoadReport{Running: len(s.running), Waiting: len(s.queued), Slots: s.sim.workload.Slots, Pace: s.pace}
 }
 
-// drift draws a new pace again and again.
-func (s *server) drift() {
-	load := s.sim.load
+// redrawPace draws a new pace and schedules the next draw after an exponentially distributed time.
+func (s *server) redrawPace() {
+	workload := s.sim.workload
 	s.pace = 1
-	if s.sim.random.Float64() < load.NoisyShare {
-		s.pace = load.Noise
+	if s.sim.random.Float64() < workload.NoisyShare {
+		s.pace = workload.NoisyPace
 	}
-	s.sim.after(time.Duration(s.sim.random.ExpFloat64()*float64(load.NoiseEvery)), s.drift)
+	s.sim.schedule(time.Duration(s.sim.random.ExpFloat64()*float64(workload.NoiseInterval)), s.redrawPace)
 }
 
 func newServers(sim *simulation) []*server {
 	var list []*server
-	for i := range sim.load.Targets {
+	for i := range sim.workload.Targets {
 		s := &server{sim: sim, name: fmt.Sprintf("t%02d", i), index: i}
-		s.drift()
+		s.redrawPace()
 		list = append(list, s)
 	}
 	return list
 }
 
-// workOf draws the time that a request takes at the usual pace.
-func workOf(random *rand.Rand, l Load) float64 {
-	return l.Work.Seconds() * math.Exp(l.Spread*random.NormFloat64()-l.Spread*l.Spread/2)
+// drawServiceTime returns a random service time on an undisturbed server, in seconds. The term -sigma²/2 makes the mean
+// of the log-normal distribution equal to w.ServiceTime.
+func drawServiceTime(random *rand.Rand, w Workload) float64 {
+	return w.ServiceTime.Seconds() * math.Exp(w.ServiceTimeSigma*random.NormFloat64()-w.ServiceTimeSigma*w.ServiceTimeSigma/2)
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -1,5 +1,6 @@
-// Package report writes one HTML page for the monitor: the chain of notes, every host, when each target could get
-// requests and why not, latencies by class, and what measuring cost.
+// Package report writes an HTML page for monitoring. The page shows the chain of notes (a note is one revision of the
+// configuration), the state of every entry host, when each target was eligible for requests and why not, request counts
+// and latencies by class, and the cost of health probes and other measurements.
 package report
 
 import (
@@ -12,33 +13,41 @@
 	"briarcroft/internal/steering"
 )
 
-// Source is everything that a page is made from.
+// Source is the data that a page shows.
 type Source struct {
-	Made         time.Time
-	Stretch      record.TimeRange
+	// Made is the time at which the data was collected.
+	Made time.Time
+	// Stretch is the period that the page covers.
+	Stretch record.TimeRange
+	// Verification is the result of the check of the chain of notes and of the hosts' agreement with it.
 	Verification operator.Verification
-	Hosts        []operator.HostStatus
-	Explanation  operator.Explanation
+	// Hosts holds the status of each entry host.
+	Hosts []operator.HostStatus
+	// Explanation holds the event records of all hosts.
+	Explanation operator.Explanation
 }
 
-// page is a Source arranged for the template.
+// page is the data of the template: a Source and what is derived from it for the tables and plots.
 type page struct {
 	Source
+	// Notes holds the records of applied and rejected notes.
 	Notes     []record.Record
 	Services  []service
 	Latencies []latency
 	Counts    []count
 	Budgets   []budget
-	Events    []record.Record
+	// Events holds all other records except those of targets, which the plots show.
+	Events []record.Record
 }
 
-// service is the plot of one service's targets.
+// service is the plot of the states of a service's targets over time.
 type service struct {
 	Name string
 	Plot plot
 }
 
-// latency is one class of one service on one host, with the plot's bars; times are in milliseconds.
+// latency is the latency of one class of a service on one host, in milliseconds. Bar50 and Bar99 are the widths of the
+// bars for P50 and P99, in pixels.
 type latency struct {
 	Host, Service, Class string
 	Count                int64
@@ -46,13 +55,14 @@
 	Bar50, Bar99         float64
 }
 
-// count sums the weighted counts of one class and failure domain over all hosts.
+// count holds the request counts of one class of a service and one failure domain, summed over all hosts.
 type count struct {
 	Service string
 	steering.CountStatus
 }
 
-// budget is what measuring cost on one host in one failure domain.
+// budget holds the cost of measurements that a host made in one failure domain: the probes sent, the bytes transferred
+// and the measurements that the measuring budget did not permit. AllowedProbes and AllowedBytes are the limits per second.
 type budget struct {
 	Host, Domain          string
 	Probes, Bytes, Denied int64
@@ -60,8 +70,8 @@
 	AllowedBytes          float64
 }
 
-// arrange makes a page of a source.
-func arrange(s Source) page {
+// newPage returns the page for a source.
+func newPage(s Source) page {
 	p := page{Source: s}
 	for _, r := range s.Explanation.Records {
 		switch r.Kind {
@@ -79,16 +89,16 @@
 	return p
 }
 
-// services plots the targets of every service that the records name.
+// services returns a plot for each service with records of targets, sorted by name.
 func services(s Source) []service {
-	names := map[string]string{}
+	serviceOf := map[string]string{}
 	for _, r := range s.Explanation.Records {
 		if r.Kind == record.TargetMoved {
-			names[r.Target] = r.Service
+			serviceOf[r.Target] = r.Service
 		}
 	}
 	byService := map[string][]record.Interval{}
-	for target, name := range names {
+	for target, name := range serviceOf {
 		byService[name] = append(byService[name], record.Timeline(s.Explanation.Records, target, s.Stretch)...)
 	}
 	var list []service
@@ -99,6 +109,7 @@
 	return list
 }
 
+// latencies returns the latencies of all hosts. The highest P99 gets the longest bar.
 func latencies(hosts []operator.HostStatus) []latency {
 	var list []latency
 	var longest int64 = 1
@@ -112,18 +123,19 @@
 			list = append(list, latency{
 				Host: h.Status.Host, Service: l.Service, Class: l.Class, Count: l.Count,
 				P50: milliseconds(l.P50), P99: milliseconds(l.P99), P999: milliseconds(l.P999), Max: milliseconds(l.Max),
-				Bar50: barWidth * float64(l.P50) / float64(longest), Bar99: barWidth * float64(l.P99) / float64(longest),
+				Bar50: maxBarWidth * float64(l.P50) / float64(longest), Bar99: maxBarWidth * float64(l.P99) / float64(longest),
 			})
 		}
 	}
 	return list
 }
 
-// barWidth is the width of the longest latency bar, in pixels.
-const barWidth = 240
+// maxBarWidth is the width of the bar of the highest P99 latency, in pixels.
+const maxBarWidth = 240
 
 func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
 
+// counts returns the request counts summed over all hosts, sorted by service, class and failure domain.
 func counts(hosts []operator.HostStatus) []count {
 	type key struct{ service, class, domain string }
 	sums := map[key]*count{}
@@ -151,12 +163,13 @@
 	return list
 }
 
+// budgets returns the cost of measurements of all hosts, sorted by host and failure domain.
 func budgets(hosts []operator.HostStatus) []budget {
 	var list []budget
 	for _, h := range hosts {
-		u := h.Status.Budget
-		for _, d := range u.Domains {
-			list = append(list, budget{h.Status.Host, d.Domain, d.Probes, d.Bytes, d.Denied, u.ProbesPerSec, u.BytesPerSec})
+		usage := h.Status.Budget
+		for _, d := range usage.Domains {
+			list = append(list, budget{h.Status.Host, d.Domain, d.Probes, d.Bytes, d.Denied, usage.ProbesPerSec, usage.BytesPerSec})
 		}
 	}
 	slices.SortFunc(list, func(a, b budget) int { return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Domain, b.Domain)) })
