--- a/internal/address/address.go
+++ b/internal/address/address.go
@@ -9,8 +9,8 @@
 	Incarnation uint64
 }
 
-// Answer lists entry hosts for a service, best first.
-type Answer struct {
+// Response lists entry hosts for a service, best first.
+type Response struct {
 	Service string
 	// MaxAge is how long the answer may be kept, in seconds.
 	MaxAge int
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -76,7 +76,7 @@
 		c.ProofTime = proofTime
 	}
 	if c.Dial == nil {
-		c.Dial = socket.Dialer(socket.Config{Timeout: c.DialTimeout, Silence: c.Silence})
+		c.Dial = socket.NewDialFunc(socket.Config{Timeout: c.DialTimeout, UnackedTimeout: c.Silence})
 	}
 	p := &Pool{config: c}
 	return p, p.close
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -63,7 +63,7 @@
 }
 
 type kept struct {
-	address.Answer
+	address.Response
 	until time.Time
 }
 
@@ -96,15 +96,15 @@
 }
 
 // Addresses returns the address answer for a service, kept or fresh; errors are ErrNoAddress.
-func (c *Client) Addresses(ctx context.Context, service string) (address.Answer, error) {
+func (c *Client) Addresses(ctx context.Context, service string) (address.Response, error) {
 	c.mu.Lock()
 	k, found := c.answers[service]
 	c.mu.Unlock()
 	if found && time.Now().Before(k.until) {
-		return k.Answer, nil
+		return k.Response, nil
 	}
 	var last error
-	for _, host := range c.askOrder(k.Answer) {
+	for _, host := range c.askOrder(k.Response) {
 		answer, err := c.Ask(ctx, host, service)
 		if err != nil {
 			last = err
@@ -116,13 +116,13 @@
 		return answer, nil
 	}
 	if found {
-		return k.Answer, nil
+		return k.Response, nil
 	}
-	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, last)
+	return address.Response{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, last)
 }
 
 // askOrder returns the hosts of the last answer and then the seeds, from a random place on.
-func (c *Client) askOrder(last address.Answer) []string {
+func (c *Client) askOrder(last address.Response) []string {
 	var list []string
 	for _, a := range last.Addresses {
 		list = append(list, a.Address)
@@ -134,8 +134,8 @@
 }
 
 // Ask asks one entry host for addresses; errors are ErrNoAddress.
-func (c *Client) Ask(ctx context.Context, host, service string) (address.Answer, error) {
-	var answer address.Answer
+func (c *Client) Ask(ctx context.Context, host, service string) (address.Response, error) {
+	var answer address.Response
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	query := url.Values{"Service": {service}, "Domain": {c.config.Domain}}
--- a/internal/certificate/files.go
+++ b/internal/certificate/files.go
@@ -17,8 +17,8 @@
 // ErrFile reports certificate files that cannot be used.
 var ErrFile = namespace.NewType("file")
 
-// ErrStranger reports a peer whose certificate the authority did not sign.
-var ErrStranger = namespace.NewType("stranger")
+// ErrUntrustedPeer reports a peer whose certificate the authority did not sign.
+var ErrUntrustedPeer = namespace.NewType("stranger")
 
 // defaultCheck is how often files are looked at.
 const defaultCheck = 10 * time.Second
@@ -28,8 +28,8 @@
 	Certificate string
 	Key         string
 	Authority   string
-	// CheckEvery is the least time between two looks at the files; zero means the default.
-	CheckEvery time.Duration
+	// CheckInterval is the least time between two looks at the files; zero means the default.
+	CheckInterval time.Duration
 }
 
 // Files holds the newest usable certificate and authority. It is safe for concurrent use.
@@ -45,8 +45,8 @@
 
 // Load reads the files; errors are ErrFile.
 func Load(c Config) (*Files, error) {
-	if c.CheckEvery == 0 {
-		c.CheckEvery = defaultCheck
+	if c.CheckInterval == 0 {
+		c.CheckInterval = defaultCheck
 	}
 	f := &Files{config: c, checked: time.Now()}
 	f.stamps = f.modified()
@@ -94,7 +94,7 @@
 func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := time.Now(); now.Sub(f.checked) >= f.config.CheckEvery {
+	if now := time.Now(); now.Sub(f.checked) >= f.config.CheckInterval {
 		f.checked = now
 		f.refresh()
 	}
@@ -117,21 +117,21 @@
 	}
 }
 
-// Failed returns why changed files are not in use, or nil.
-func (f *Files) Failed() error {
+// ReloadError returns why changed files are not in use, or nil.
+func (f *Files) ReloadError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
 }
 
-// Callers returns the TLS configuration towards callers.
-func (f *Files) Callers() *tls.Config {
+// CallerTLS returns the TLS configuration towards callers.
+func (f *Files) CallerTLS() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.serverCertificate}
 }
 
-// Peers returns the mutual TLS configuration of peers, for both sides of a connection.
+// PeerTLS returns the mutual TLS configuration of peers, for both sides of a connection.
 // Peers are known by the authority, not by name: hosts are replaced and addressed by IP number.
-func (f *Files) Peers() *tls.Config {
+func (f *Files) PeerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, GetCertificate: f.serverCertificate, GetClientCertificate: f.clientCertificate,
 		ClientAuth: tls.RequireAnyClientCert, InsecureSkipVerify: true, VerifyConnection: f.verify,
@@ -151,7 +151,7 @@
 // verify checks the other side's chain against the authority, without its name; errors are ErrStranger.
 func (f *Files) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return ErrStranger.New("the peer sent no certificate; set its [TLS] keys")
+		return ErrUntrustedPeer.New("the peer sent no certificate; set its [TLS] keys")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -160,7 +160,7 @@
 	_, roots := f.current()
 	options := x509.VerifyOptions{Roots: roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
 	if _, err := state.PeerCertificates[0].Verify(options); err != nil {
-		return ErrStranger.New("the peer is a stranger (%v); sign its certificate with the authority", err)
+		return ErrUntrustedPeer.New("the peer is a stranger (%v); sign its certificate with the authority", err)
 	}
 	return nil
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -23,20 +23,20 @@
 
 // Exit codes, as docs/operators/commands.md documents them.
 const (
-	ExitDone     = 0
-	ExitFailed   = 1
-	ExitInput    = 2
-	ExitConflict = 3
-	ExitUnknown  = 4
+	ExitSuccess        = 0
+	ExitFailed         = 1
+	ExitBadInput       = 2
+	ExitConflict       = 3
+	ExitOutcomeUnknown = 4
 )
 
 var namespace = errorx.NewNamespace("command").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrDisagrees reports a check that ran and found a difference, which has been printed already.
-var ErrDisagrees = namespace.NewType("disagrees")
+// ErrFindings reports a check that ran and found a difference, which has been printed already.
+var ErrFindings = namespace.NewType("disagrees")
 
-// ErrLate reports a note that was accepted and is not in force on every host in time.
-var ErrLate = namespace.NewType("late")
+// ErrNotInForce reports a note that was accepted and is not in force on every host in time.
+var ErrNotInForce = namespace.NewType("late")
 
 // Config is what a run gets from its process.
 type Config struct {
@@ -89,25 +89,25 @@
 	var usage *flags.Error
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &usage) && usage.Type == flags.ErrHelp:
 		fmt.Fprintln(r.out, usage.Message)
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &usage):
 		fmt.Fprintf(r.err, "%s; see briarcroft --help\n", usage.Message)
-		return ExitInput
-	case errorx.IsOfType(err, ErrDisagrees):
+		return ExitBadInput
+	case errorx.IsOfType(err, ErrFindings):
 		return ExitFailed
 	}
 	fmt.Fprintln(r.err, message(err))
 	switch {
 	case errorx.IsOfType(err, document.ErrField), errorx.IsOfType(err, document.ErrSyntax),
 		errorx.IsOfType(err, settings.ErrFile), errorx.IsOfType(err, note.ErrInvalid):
-		return ExitInput
+		return ExitBadInput
 	case errorx.IsOfType(err, note.ErrConflict):
 		return ExitConflict
 	case errorx.IsOfType(err, note.ErrUnknown):
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	}
 	return ExitFailed
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -97,7 +97,7 @@
 		fmt.Fprintf(c.err, "no records from %s\n", missing)
 	}
 	if len(e.Missing) > 0 {
-		return ErrDisagrees.New("%d hosts gave no records", len(e.Missing))
+		return ErrFindings.New("%d hosts gave no records", len(e.Missing))
 	}
 	return nil
 }
--- a/internal/command/native_test.go
+++ b/internal/command/native_test.go
@@ -53,7 +53,7 @@
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		code, out := run("verify", "--kind", "Native", "--store", server.URL)
-		if code == ExitDone {
+		if code == ExitSuccess {
 			is.True(strings.Contains(out, "agrees"))
 			break
 		}
@@ -62,7 +62,7 @@
 		}
 	}
 	code, out := run("explain", "--target", "i-1")
-	is.Equal(code, ExitDone)
+	is.Equal(code, ExitSuccess)
 	is.True(strings.Contains(out, "i-1"))
 	cancel()
 	is.NoErr(<-done)
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -152,7 +152,7 @@
 
 	checkInput(s, first)
 	code, out := s.run("publish", "--store", s.store, "--note", first, "--host", s.listen[0], "--host", s.listen[1], "--host", s.listen[2])
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	s.is.True(strings.HasPrefix(out, "note 1 accepted"))
 	s.is.True(strings.Contains(out, "in force on 3 hosts"))
 	s.eventually("note 1 in force on three hosts", func() bool { return s.agree(3, 1) })
@@ -178,16 +178,16 @@
 		code      int
 		want      string
 	}{
-		{[]string{"check", "--note", first}, ExitDone, "in order"},
-		{[]string{"check", "--note", bad}, ExitInput, "bad.ini:6: section [Service s] key Home is unknown"},
-		{[]string{"publish", "--store", s.store, "--note", bad}, ExitInput, "key Home is unknown"},
-		{[]string{"check", "--config", filepath.Join(s.dir, "none.ini")}, ExitInput, "name a readable INI file"},
-		{[]string{"check"}, ExitInput, "--config or --note"},
-		{[]string{"nonsense"}, ExitInput, "nknown command"},
-		{[]string{"publish", "--help"}, ExitDone, "--store"},
-		{[]string{"version"}, ExitDone, "briarcroft"},
-		{[]string{"demo", "--length", "0s"}, ExitInput, "--length"},
-		{[]string{"status", "--host", "127.0.0.1:1"}, ExitDone, "check that the host runs"},
+		{[]string{"check", "--note", first}, ExitSuccess, "in order"},
+		{[]string{"check", "--note", bad}, ExitBadInput, "bad.ini:6: section [Service s] key Home is unknown"},
+		{[]string{"publish", "--store", s.store, "--note", bad}, ExitBadInput, "key Home is unknown"},
+		{[]string{"check", "--config", filepath.Join(s.dir, "none.ini")}, ExitBadInput, "name a readable INI file"},
+		{[]string{"check"}, ExitBadInput, "--config or --note"},
+		{[]string{"nonsense"}, ExitBadInput, "nknown command"},
+		{[]string{"publish", "--help"}, ExitSuccess, "--store"},
+		{[]string{"version"}, ExitSuccess, "briarcroft"},
+		{[]string{"demo", "--length", "0s"}, ExitBadInput, "--length"},
+		{[]string{"status", "--host", "127.0.0.1:1"}, ExitSuccess, "check that the host runs"},
 	}
 	for _, c := range cases {
 		code, out := s.run(c.arguments...)
@@ -202,22 +202,22 @@
 func checkMonitor(s *system) {
 	hosts := []string{"--host", s.listen[0], "--host", s.listen[1], "--host", s.listen[2]}
 	code, out := s.run(append([]string{"verify", "--store", s.store}, hosts...)...)
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	s.is.Equal(strings.Count(out, "agrees"), 3)
 	code, out = s.run(append([]string{"explain", "--target", "a"}, hosts...)...)
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	s.is.Equal(strings.Count(out, "TargetMoved service s target a from \"Absent\" to \"Live\", cause AddedByNote"), 3)
 	code, out = s.run(append([]string{"explain", "--target", "a", "--why"}, hosts...)...)
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	s.is.Equal(strings.Count(out, "could get requests for"), 3)
 	code, _ = s.run(append([]string{"explain", "--why"}, hosts...)...)
-	s.is.Equal(code, ExitInput)
+	s.is.Equal(code, ExitBadInput)
 	code, out = s.run(append([]string{"addresses", "--service", "s", "--json"}, hosts...)...)
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	s.is.True(strings.Contains(out, "\"Grant\": \"g1.entry-1."))
 	page := filepath.Join(s.dir, "report.html")
 	code, _ = s.run(append([]string{"report", "--store", s.store, "--out", page}, hosts...)...)
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	text, err := os.ReadFile(page)
 	s.is.NoErr(err)
 	s.is.Equal(strings.Count(string(text), ">agrees<"), 3)
@@ -243,7 +243,7 @@
 	s.is.NoErr(paused.Process.Signal(syscall.SIGCONT))
 	s.eventually("three hosts again", func() bool { return s.agree(3, 1) })
 	code, out := s.run("explain", "--host", s.listen[1])
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	s.is.True(strings.Contains(out, "HostPaused"))
 }
 
@@ -272,7 +272,7 @@
 		})
 	}
 	code, out := s.run("addresses", "--service", "s", "--host", s.listen[0])
-	s.is.Equal(code, ExitDone)
+	s.is.Equal(code, ExitSuccess)
 	home := 0
 	for i, listen := range s.listen {
 		if strings.HasPrefix(strings.Split(out, "\n")[1], listen) {
--- a/internal/command/publish.go
+++ b/internal/command/publish.go
@@ -64,7 +64,7 @@
 		select {
 		case <-time.After(awaitPause):
 		case <-ctx.Done():
-			return ErrLate.New("note %d is accepted but not yet in force on %s; look again with status", number, strings.Join(late, ", "))
+			return ErrNotInForce.New("note %d is accepted but not yet in force on %s; look again with status", number, strings.Join(late, ", "))
 		}
 	}
 }
--- a/internal/command/report.go
+++ b/internal/command/report.go
@@ -45,7 +45,7 @@
 	}
 	_, err = fmt.Fprintf(c.out, "%s written\n", c.Out)
 	if err == nil && !verification.Agrees() {
-		return ErrDisagrees.New("the chain or a host differs; see the page")
+		return ErrFindings.New("the chain or a host differs; see the page")
 	}
 	return err
 }
--- a/internal/command/verify.go
+++ b/internal/command/verify.go
@@ -32,7 +32,7 @@
 		err = c.print(v)
 	}
 	if err == nil && !v.Agrees() {
-		return ErrDisagrees.New("the chain or a host differs")
+		return ErrFindings.New("the chain or a host differs")
 	}
 	return err
 }
@@ -46,7 +46,7 @@
 		if err != nil {
 			return operator.Verification{}, err
 		}
-		return operator.VerifyNewest(newest, hosts), nil
+		return operator.VerifyConfiguration(newest, hosts), nil
 	}
 	store, closeStore := internalplatform.NewEtcd(internalplatform.EtcdConfig{URL: c.Store, Timeout: c.Timeout})
 	defer closeStore()
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -36,7 +36,7 @@
 		f.refuse(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
 		return
 	}
-	answer := address.Answer{
+	answer := address.Response{
 		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.Number(),
 		Grant: h.claims.Grant(now).String(), GrantHost: h.Name(),
 	}
@@ -50,7 +50,7 @@
 	if len(answer.Addresses) == 0 {
 		answer.Addresses = append(answer.Addresses, toAddress(h.table.Self()))
 	}
-	page.Write(w, http.StatusOK, answer)
+	page.WriteJSON(w, http.StatusOK, answer)
 }
 
 func toAddress(m host.Member) address.Address {
@@ -59,7 +59,7 @@
 
 func (f *front) serveNote(w http.ResponseWriter, _ *http.Request) {
 	head, hash, _ := f.host.chain.Head()
-	page.Write(w, http.StatusOK, note.Status{
+	page.WriteJSON(w, http.StatusOK, note.Status{
 		Host: f.host.Name(), Incarnation: f.host.incarnation, Number: head.Number, Hash: hash, Configuration: head.Configuration,
 		InForceSince: time.UnixMilli(f.host.inForce.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
 	})
@@ -80,7 +80,7 @@
 	if !self.Ready || self.Leaving {
 		status = http.StatusServiceUnavailable
 	}
-	page.Write(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.table.Isolated(f.host.now()), self.Note})
+	page.WriteJSON(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.table.Isolated(f.host.now()), self.Note})
 }
 
 // Status is everything that one host tells of itself.
@@ -125,7 +125,7 @@
 }
 
 func (f *front) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	page.Write(w, http.StatusOK, f.host.status())
+	page.WriteJSON(w, http.StatusOK, f.host.status())
 }
 
 // newVars returns the host's expvar map; it is not global, so that several hosts can live in one process.
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -45,7 +45,7 @@
 		f.warm(host, 200)
 		silenced := 0
 		for _, b := range backends {
-			silenced += f.net.Silence("entry-1", b.name)
+			silenced += f.net.Blackhole("entry-1", b.name)
 		}
 		f.is.True(silenced >= 8)
 		var worst time.Duration
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -143,14 +143,14 @@
 		if err != nil {
 			return nil, err
 		}
-		h.peerTLS = files.Peers()
+		h.peerTLS = files.PeerTLS()
 	}
 	if s.TLS.CallerCertificate != "" {
 		files, err := certificate.Load(certificate.Config{Certificate: s.TLS.CallerCertificate, Key: s.TLS.CallerKey})
 		if err != nil {
 			return nil, err
 		}
-		h.callerTLS = files.Callers()
+		h.callerTLS = files.CallerTLS()
 	}
 	var closeBook, closeClient, closeSteering func()
 	h.book, closeBook = record.New(record.Config{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: bookRecords, Logger: h.config.Logger})
--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -50,7 +50,7 @@
 			for i, a := range f.order {
 				for j, b := range f.order {
 					if (i*7+j*3)%3 == 0 && i < j {
-						f.net.Part(a, b)
+						f.net.Partition(a, b)
 					}
 				}
 			}
--- a/internal/entry/protocol_test.go
+++ b/internal/entry/protocol_test.go
@@ -94,7 +94,7 @@
 	}
 	inService(t, 2, 1, slow, func(f *fleet, backends []*fakeBackend) {
 		grant := f.nodes["entry-1"].host.claims.Grant(f.nodes["entry-1"].host.now()).String()
-		time.AfterFunc(300*time.Millisecond, func() { f.net.Silence("entry-1", "entry-2") })
+		time.AfterFunc(300*time.Millisecond, func() { f.net.Blackhole("entry-1", "entry-2") })
 		began := time.Now()
 		response, body, err := f.send(f.nodes["entry-2"], http.MethodPost, "/sign", "", map[string]string{"Idempotency-Key": grant + ".k"})
 		f.is.NoErr(err)
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -77,7 +77,7 @@
 					}
 				}
 			}
-			parting(f.net.Part)
+			parting(f.net.Partition)
 			time.Sleep(20 * time.Second)
 			number := f.publish(next(1))
 			time.Sleep(inForceBound)
@@ -102,8 +102,8 @@
 		{"store down while a domain is cut off", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Down: true})
 			for _, b := range []string{"entry-2", "entry-3", "entry-5", "entry-6"} {
-				f.net.Part("entry-1", b)
-				f.net.Part("entry-4", b)
+				f.net.Partition("entry-1", b)
+				f.net.Partition("entry-4", b)
 			}
 			time.Sleep(10 * time.Second)
 			f.serves(3)
@@ -124,7 +124,7 @@
 	recovers(t, func(f *fleet) time.Duration {
 		for i, a := range f.order {
 			for _, b := range f.order[i:] {
-				f.net.SilenceOneWay(a, b)
+				f.net.BlackholeOneWay(a, b)
 			}
 		}
 		number := f.publish(next(1))
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -181,7 +181,7 @@
 		return "plain" + strings.ReplaceAll(path, "/", "-")
 	}
 	response, body, err := s.f.send(s.host(), http.MethodGet, "/Addresses?Service=s", "", nil)
-	var answer address.Answer
+	var answer address.Response
 	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &answer) != nil {
 		return ""
 	}
@@ -247,12 +247,12 @@
 	case "crash", "stop":
 		s.replace(a, kind, last)
 	case "silent backend":
-		s.f.net.Silence(a, s.backends[s.intN(len(s.backends))].name)
+		s.f.net.Blackhole(a, s.backends[s.intN(len(s.backends))].name)
 	case "silent peer":
-		s.f.net.Silence(a, b)
+		s.f.net.Blackhole(a, b)
 	case "parted":
 		if a != b {
-			s.f.net.Part(a, b)
+			s.f.net.Partition(a, b)
 			time.Sleep(last)
 			s.f.net.Heal(a, b)
 		}
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -98,7 +98,7 @@
 	if r.RetryDone {
 		w.Header().Set(steering.HeaderRetry, steering.RetryDone)
 	}
-	page.Write(w, r.Status, struct {
+	page.WriteJSON(w, r.Status, struct {
 		Outcome           claim.Outcome
 		Reason            string
 		RetryAfterSeconds float64
--- a/internal/fakenet/network.go
+++ b/internal/fakenet/network.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Part cuts two nodes off from each other.
-func (n *Network) Part(a, b string) { n.setParted(a, b, true) }
+// Partition cuts two nodes off from each other.
+func (n *Network) Partition(a, b string) { n.setParted(a, b, true) }
 
 // Heal joins two nodes again.
 func (n *Network) Heal(a, b string) { n.setParted(a, b, false) }
@@ -159,8 +159,8 @@
 	n.parted[[2]string{a, b}], n.parted[[2]string{b, a}] = parted, parted
 }
 
-// Silence makes every open connection between two nodes silent for good; new ones work.
-func (n *Network) Silence(a, b string) int {
+// Blackhole makes every open connection between two nodes silent for good; new ones work.
+func (n *Network) Blackhole(a, b string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
@@ -173,8 +173,8 @@
 	return count
 }
 
-// SilenceOneWay makes what one node sends another on open connections get lost for good; new ones work.
-func (n *Network) SilenceOneWay(from, to string) {
+// BlackholeOneWay makes what one node sends another on open connections get lost for good; new ones work.
+func (n *Network) BlackholeOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -59,7 +59,7 @@
 			http.Error(w, "no host is ready", http.StatusServiceUnavailable)
 			return
 		}
-		page.Write(w, http.StatusOK, g.dialect.AddressesBody(addresses, int(g.tunable.Load().Limits.AddressMaxAge/time.Second)))
+		page.WriteJSON(w, http.StatusOK, g.dialect.AddressesBody(addresses, int(g.tunable.Load().Limits.AddressMaxAge/time.Second)))
 	})
 	return serveHTTP(ctx, l, mux)
 }
@@ -103,7 +103,7 @@
 
 func (g *Gateway) serveNote(w http.ResponseWriter, _ *http.Request) {
 	head, hash, _ := g.chain.Head()
-	page.Write(w, http.StatusOK, note.Status{
+	page.WriteJSON(w, http.StatusOK, note.Status{
 		Host: g.settings.Host.Name, Incarnation: g.incarnation, Number: head.Number, Hash: hash, Configuration: head.Configuration,
 		InForceSince: time.UnixMilli(g.inForce.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
 	})
@@ -111,7 +111,7 @@
 
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	self := g.table.Self()
-	page.Write(w, http.StatusOK, struct {
+	page.WriteJSON(w, http.StatusOK, struct {
 		Host, Domain   string
 		Incarnation    uint64
 		Ready, Leaving bool
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -212,10 +212,10 @@
 			}
 		}
 		alone, friend := others[0], others[1]
-		f.net.Part(alone, "store")
+		f.net.Partition(alone, "store")
 		for _, m := range members {
 			if m.Name != alone && m.Name != friend {
-				f.net.Part(alone, m.Name)
+				f.net.Partition(alone, m.Name)
 			}
 		}
 		time.Sleep(time.Second)
@@ -297,17 +297,17 @@
 		{"killed", func(f *fleet, home string) { f.kill(home) }},
 		{"silent", func(f *fleet, home string) {
 			for name := range f.hosts {
-				f.net.Part(name, home)
+				f.net.Partition(name, home)
 			}
 		}},
 		{"connections to it silent", func(f *fleet, home string) {
 			for name := range f.hosts {
-				f.net.SilenceOneWay(name, home)
+				f.net.BlackholeOneWay(name, home)
 			}
 		}},
 		{"connections from it silent", func(f *fleet, home string) {
 			for name := range f.hosts {
-				f.net.SilenceOneWay(home, name)
+				f.net.BlackholeOneWay(home, name)
 			}
 		}},
 	}
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -237,11 +237,11 @@
 	case "HostKilled", "HostStopped":
 		x.replace(f, host)
 	case "HostsParted":
-		x.net.Part(host, peer)
+		x.net.Partition(host, peer)
 		time.Sleep(f.For)
 		x.net.Heal(host, peer)
 	case "HostsSilentOneWay":
-		x.net.SilenceOneWay(host, peer)
+		x.net.BlackholeOneWay(host, peer)
 	case "TargetLeaves":
 		x.leave(f, server)
 	case "StoreForgetsHistory":
--- a/internal/inner/tls_test.go
+++ b/internal/inner/tls_test.go
@@ -68,11 +68,11 @@
 
 // load returns the mutual TLS configuration of a host that looks at its files at every handshake.
 func load(certificate, key, authority string) (*tls.Config, error) {
-	files, err := certificates.Load(certificates.Config{Certificate: certificate, Key: key, Authority: authority, CheckEvery: time.Nanosecond})
+	files, err := certificates.Load(certificates.Config{Certificate: certificate, Key: key, Authority: authority, CheckInterval: time.Nanosecond})
 	if err != nil {
 		return nil, err
 	}
-	return files.Peers(), nil
+	return files.PeerTLS(), nil
 }
 
 type echo struct {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,8 +24,8 @@
 
 var namespace = errorx.NewNamespace("operator").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrHost reports a host that did not answer.
-var ErrHost = namespace.NewType("host")
+// ErrHostRequest reports a host that did not answer.
+var ErrHostRequest = namespace.NewType("host")
 
 // Config sets up a Client.
 type Config struct {
@@ -97,8 +97,8 @@
 }
 
 // Addresses asks the first host that answers for a service's addresses; errors are ErrHost.
-func (c *Client) Addresses(ctx context.Context, service, domain string) (address.Answer, error) {
-	var answer address.Answer
+func (c *Client) Addresses(ctx context.Context, service, domain string) (address.Response, error) {
+	var answer address.Response
 	var err error
 	query := url.Values{"Service": {service}, "Domain": {domain}}
 	for _, host := range c.config.Hosts {
@@ -148,8 +148,8 @@
 	return v, nil
 }
 
-// VerifyNewest compares every host's answer with the configuration that the users' platform holds as the newest.
-func VerifyNewest(newest note.Configuration, hosts []HostStatus) Verification {
+// VerifyConfiguration compares every host's answer with the configuration that the users' platform holds as the newest.
+func VerifyConfiguration(newest note.Configuration, hosts []HostStatus) Verification {
 	v := Verification{Number: newest.Number, Hash: newest.Hash()}
 	for _, s := range hosts {
 		f := Finding{Address: s.Address, Host: s.Note.Host, Number: s.Note.Number}
@@ -203,19 +203,19 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, host+path, nil)
 	if err != nil {
-		return ErrHost.New("%v; write the host as IP:PORT", err)
+		return ErrHostRequest.New("%v; write the host as IP:PORT", err)
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
-		return ErrHost.New("%v; check that the host runs", err)
+		return ErrHostRequest.New("%v; check that the host runs", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
-		return ErrHost.New("answered %s %s", response.Status, strings.TrimSpace(string(text)))
+		return ErrHostRequest.New("answered %s %s", response.Status, strings.TrimSpace(string(text)))
 	}
 	if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
-		return ErrHost.New("answer cannot be read: %v", err)
+		return ErrHostRequest.New("answer cannot be read: %v", err)
 	}
 	return nil
 }
--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// Write answers with a value as JSON.
-func Write(w http.ResponseWriter, status int, value any) {
+// WriteJSON answers with a value as JSON.
+func WriteJSON(w http.ResponseWriter, status int, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -17,5 +17,5 @@
 			return
 		}
 	}
-	page.Write(w, http.StatusOK, struct{ Records []Record }{b.Since(r.URL.Query().Get("Target"), since)})
+	page.WriteJSON(w, http.StatusOK, struct{ Records []Record }{b.Since(r.URL.Query().Get("Target"), since)})
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -14,8 +14,8 @@
 type Config struct {
 	// Timeout bounds the opening of a connection.
 	Timeout time.Duration
-	// Silence is how long sent bytes or keep-alive probes may go unacknowledged before the connection is given up.
-	Silence time.Duration
+	// UnackedTimeout is how long sent bytes or keep-alive probes may go unacknowledged before the connection is given up.
+	UnackedTimeout time.Duration
 }
 
 // keepAliveProbes is how many unanswered keep-alive probes end a connection.
@@ -24,14 +24,14 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns a function that opens connections with the given times.
-func Dialer(c Config) DialFunc {
-	interval := max(time.Second, c.Silence/(keepAliveProbes+1))
+// NewDialFunc returns a function that opens connections with the given times.
+func NewDialFunc(c Config) DialFunc {
+	interval := max(time.Second, c.UnackedTimeout/(keepAliveProbes+1))
 	dialer := net.Dialer{
 		Timeout:         c.Timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return setUserTimeout(raw, c.Silence)
+			return setUserTimeout(raw, c.UnackedTimeout)
 		},
 	}
 	return dialer.DialContext
