--- a/internal/certificate/files.go
+++ b/internal/certificate/files.go
@@ -20,8 +20,8 @@
 // ErrUntrustedPeer reports a peer whose certificate the authority did not sign.
 var ErrUntrustedPeer = namespace.NewType("stranger")
 
-// defaultCheck is how often files are looked at.
-const defaultCheck = 10 * time.Second
+// defaultCheckInterval is how often files are looked at.
+const defaultCheckInterval = 10 * time.Second
 
 // Config names the PEM files; Authority is empty where callers are not asked for a certificate.
 type Config struct {
@@ -34,31 +34,31 @@
 
 // Files holds the newest usable certificate and authority. It is safe for concurrent use.
 type Files struct {
-	config  Config
-	mu      sync.Mutex
-	pair    *tls.Certificate
-	roots   *x509.CertPool
-	stamps  []time.Time
-	checked time.Time
-	failed  error
+	config    Config
+	mu        sync.Mutex
+	keyPair   *tls.Certificate
+	roots     *x509.CertPool
+	modTimes  []time.Time
+	lastCheck time.Time
+	reloadErr error
 }
 
 // Load reads the files; errors are ErrFile.
 func Load(c Config) (*Files, error) {
 	if c.CheckInterval == 0 {
-		c.CheckInterval = defaultCheck
+		c.CheckInterval = defaultCheckInterval
 	}
-	f := &Files{config: c, checked: time.Now()}
-	f.stamps = f.modified()
-	if err := f.read(); err != nil {
+	f := &Files{config: c, lastCheck: time.Now()}
+	f.modTimes = f.statModTimes()
+	if err := f.load(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// read replaces what is held by what the files hold, or leaves it as it is.
-func (f *Files) read() error {
-	pair, err := tls.LoadX509KeyPair(f.config.Certificate, f.config.Key)
+// load replaces what is held by what the files hold, or leaves it as it is.
+func (f *Files) load() error {
+	keyPair, err := tls.LoadX509KeyPair(f.config.Certificate, f.config.Key)
 	if err != nil {
 		return ErrFile.New("%s: %v; give a PEM certificate and the key that belongs to it", f.config.Certificate, err)
 	}
@@ -73,47 +73,47 @@
 			return ErrFile.New("%s holds no PEM certificate; give the authority's", f.config.Authority)
 		}
 	}
-	f.pair, f.roots = &pair, roots
+	f.keyPair, f.roots = &keyPair, roots
 	return nil
 }
 
-// modified returns when each file was last changed; a file that is missing counts as never.
-func (f *Files) modified() []time.Time {
-	var list []time.Time
+// statModTimes returns when each file was last changed; a file that is missing counts as never.
+func (f *Files) statModTimes() []time.Time {
+	var modTimes []time.Time
 	for _, name := range []string{f.config.Certificate, f.config.Key, f.config.Authority} {
-		var at time.Time
+		var modTime time.Time
 		if info, err := os.Stat(name); err == nil {
-			at = info.ModTime()
+			modTime = info.ModTime()
 		}
-		list = append(list, at)
+		modTimes = append(modTimes, modTime)
 	}
-	return list
+	return modTimes
 }
 
 // current returns what is in use, after another look at the files if the last one is long ago.
 func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := time.Now(); now.Sub(f.checked) >= f.config.CheckInterval {
-		f.checked = now
-		f.refresh()
+	if now := time.Now(); now.Sub(f.lastCheck) >= f.config.CheckInterval {
+		f.lastCheck = now
+		f.reloadIfChanged()
 	}
-	return f.pair, f.roots
+	return f.keyPair, f.roots
 }
 
-// refresh reads the files again if any has changed. Files that do not fit together, as in the middle of a replacement,
+// reloadIfChanged reads the files again if any has changed. Files that do not fit together, as in the middle of a replacement,
 // leave the old ones in use and are read again at the next look.
-func (f *Files) refresh() {
-	stamps := f.modified()
-	same := f.failed == nil
-	for i := range stamps {
-		same = same && stamps[i].Equal(f.stamps[i])
+func (f *Files) reloadIfChanged() {
+	modTimes := f.statModTimes()
+	unchanged := f.reloadErr == nil
+	for i := range modTimes {
+		unchanged = unchanged && modTimes[i].Equal(f.modTimes[i])
 	}
-	if same {
+	if unchanged {
 		return
 	}
-	if f.failed = f.read(); f.failed == nil {
-		f.stamps = stamps
+	if f.reloadErr = f.load(); f.reloadErr == nil {
+		f.modTimes = modTimes
 	}
 }
 
@@ -121,7 +121,7 @@
 func (f *Files) ReloadError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failed
+	return f.reloadErr
 }
 
 // CallerTLS returns the TLS configuration towards callers.
@@ -134,22 +134,22 @@
 func (f *Files) PeerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, GetCertificate: f.serverCertificate, GetClientCertificate: f.clientCertificate,
-		ClientAuth: tls.RequireAnyClientCert, InsecureSkipVerify: true, VerifyConnection: f.verify,
+		ClientAuth: tls.RequireAnyClientCert, InsecureSkipVerify: true, VerifyConnection: f.verifyPeer,
 	}
 }
 
 func (f *Files) serverCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	pair, _ := f.current()
-	return pair, nil
+	keyPair, _ := f.current()
+	return keyPair, nil
 }
 
 func (f *Files) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-	pair, _ := f.current()
-	return pair, nil
+	keyPair, _ := f.current()
+	return keyPair, nil
 }
 
-// verify checks the other side's chain against the authority, without its name; errors are ErrStranger.
-func (f *Files) verify(state tls.ConnectionState) error {
+// verifyPeer checks the other side's chain against the authority, without its name; errors are ErrStranger.
+func (f *Files) verifyPeer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrUntrustedPeer.New("the peer sent no certificate; set its [TLS] keys")
 	}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -11,7 +11,7 @@
 )
 
 type checkCommand struct {
-	*root
+	*baseCommand
 	Config string `long:"config" description:"settings file in INI"`
 	Note   string `long:"note" description:"release note in INI"`
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -10,7 +10,7 @@
 )
 
 type demoCommand struct {
-	*root
+	*baseCommand
 	Deployment string        `long:"deployment" default:"stalverk" choice:"stalverk" choice:"kiosques" description:"deployment to run"`
 	Length     time.Duration `long:"length" default:"10s" description:"how long callers send"`
 	Rate       float64       `long:"rate" default:"1" description:"factor on every rate"`
@@ -30,7 +30,7 @@
 	for _, d := range demo.Deployments {
 		if d.Name == c.Deployment {
 			return demo.Run(context.Background(), demo.Config{
-				Deployment: d, Length: c.Length, RateFactor: c.Rate, Seed: c.Seed, Out: c.out, Logger: c.logger(level),
+				Deployment: d, Length: c.Length, RateFactor: c.Rate, Seed: c.Seed, Out: c.out, Logger: c.newLogger(level),
 			})
 		}
 	}
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -11,7 +11,7 @@
 )
 
 type experimentCommand struct {
-	*root
+	*baseCommand
 	Load   string  `long:"load" description:"play only loads whose name begins so"`
 	Policy string  `long:"policy" description:"play only policies whose name begins so"`
 	Use    float64 `long:"use" description:"rate of requests, relative to what quiet servers carry; the load's own if left out"`
@@ -23,7 +23,7 @@
 func (c *experimentCommand) Execute([]string) error {
 	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Load\tPolicy\tSeed\tAsked\tInGoal\tLate\tRefused\tLost\tWorth\tP50\tP99\tProbes/s\tRepeats")
-	played := 0
+	simulated := 0
 	for _, load := range model.Loads() {
 		if !strings.HasPrefix(load.Name, c.Load) {
 			continue
@@ -37,14 +37,14 @@
 			}
 			for seed := c.Seed; seed < c.Seed+c.Runs; seed++ {
 				load.Seed = seed
-				r := model.Play(policy, load)
-				played++
+				result := model.Play(policy, load)
+				simulated++
 				fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\t%.1f\t%.3f\n",
-					r.Load, r.Policy, seed, r.Asked, r.InGoal, r.Late, r.Refused, r.Lost, r.Worth, r.P50, r.P99, r.Probes, r.Repeats)
+					result.Load, result.Policy, seed, result.Asked, result.InGoal, result.Late, result.Refused, result.Lost, result.Worth, result.P50, result.P99, result.Probes, result.Repeats)
 			}
 		}
 	}
-	if played == 0 {
+	if simulated == 0 {
 		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy has such a name; leave --load and --policy out to see all"}
 	}
 	return table.Flush()
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -13,8 +13,8 @@
 )
 
 type explainCommand struct {
-	*root
-	hostsOption
+	*baseCommand
+	hostsOptions
 	Target string        `long:"target" description:"only records that concern this target, and those that concern all"`
 	Since  time.Duration `long:"since" default:"1h" description:"how far back"`
 	Why    bool          `long:"why" description:"show when the target could get nothing, and why"`
@@ -25,76 +25,76 @@
 
 // Execute implements flags.Commander.
 func (c *explainCommand) Execute([]string) error {
-	stretch, err := c.stretch(time.Now())
+	period, err := c.timeRange(time.Now())
 	if err != nil {
 		return err
 	}
 	client, closeClient := operator.New(operator.Config{Hosts: c.Hosts, Timeout: c.Timeout})
 	defer closeClient()
 	if c.Why {
-		return c.why(client.Explain(context.Background(), c.Target, time.Time{}), stretch)
+		return c.printTimeline(client.Explain(context.Background(), c.Target, time.Time{}), period)
 	}
-	e := client.Explain(context.Background(), c.Target, stretch.From)
-	e.Records = slices.DeleteFunc(e.Records, func(r record.Record) bool { return r.Time.After(stretch.To) })
+	e := client.Explain(context.Background(), c.Target, period.From)
+	e.Records = slices.DeleteFunc(e.Records, func(r record.Record) bool { return r.Time.After(period.To) })
 	if c.JSON {
-		return c.json(e)
+		return c.printJSON(e)
 	}
 	for _, r := range e.Records {
-		fmt.Fprintln(c.out, line(r))
+		fmt.Fprintln(c.out, formatRecord(r))
 	}
-	return c.missing(e)
+	return c.reportMissing(e)
 }
 
-// stretch returns the time that is asked about.
-func (c *explainCommand) stretch(now time.Time) (record.Stretch, error) {
-	s := record.Stretch{From: now.Add(-c.Since), To: now}
+// timeRange returns the time that is asked about.
+func (c *explainCommand) timeRange(now time.Time) (record.Stretch, error) {
+	period := record.Stretch{From: now.Add(-c.Since), To: now}
 	if c.Why && c.Target == "" {
-		return s, &flags.Error{Type: flags.ErrRequired, Message: "--why needs --target"}
+		return period, &flags.Error{Type: flags.ErrRequired, Message: "--why needs --target"}
 	}
-	for _, bound := range []struct {
+	for _, option := range []struct {
 		name, text string
 		at         *time.Time
-	}{{"--from", c.From, &s.From}, {"--to", c.To, &s.To}} {
-		if bound.text == "" {
+	}{{"--from", c.From, &period.From}, {"--to", c.To, &period.To}} {
+		if option.text == "" {
 			continue
 		}
-		at, err := time.Parse(time.RFC3339, bound.text)
+		at, err := time.Parse(time.RFC3339, option.text)
 		if err != nil {
-			return s, &flags.Error{Type: flags.ErrMarshal, Message: bound.name + " is not a time; write it as 2006-01-02T15:04:05Z"}
+			return period, &flags.Error{Type: flags.ErrMarshal, Message: option.name + " is not a time; write it as 2006-01-02T15:04:05Z"}
 		}
-		*bound.at = at
+		*option.at = at
 	}
-	if !s.From.Before(s.To) {
-		return s, &flags.Error{Type: flags.ErrMarshal, Message: "--from must lie before --to"}
+	if !period.From.Before(period.To) {
+		return period, &flags.Error{Type: flags.ErrMarshal, Message: "--from must lie before --to"}
 	}
-	return s, nil
+	return period, nil
 }
 
-// why prints when the target could get nothing, and how much of the time it could.
-func (c *explainCommand) why(e operator.Explanation, s record.Stretch) error {
-	timeline := record.Timeline(e.Records, c.Target, s)
+// printTimeline prints when the target could get nothing, and how much of the time it could.
+func (c *explainCommand) printTimeline(e operator.Explanation, period record.Stretch) error {
+	timeline := record.Timeline(e.Records, c.Target, period)
 	if c.JSON {
-		return c.json(timeline)
+		return c.printJSON(timeline)
 	}
-	for _, i := range timeline {
-		if !i.Eligible() {
-			fmt.Fprintf(c.out, "%s: nothing from %s to %s (%v): %s since %s under note %d%s\n", i.Host, i.From.Format(timeFormat), i.To.Format(timeFormat),
-				i.Length().Round(time.Millisecond), i.State, i.Cause, i.Note, evidence(i.Evidence))
+	for _, interval := range timeline {
+		if !interval.Eligible() {
+			fmt.Fprintf(c.out, "%s: nothing from %s to %s (%v): %s since %s under note %d%s\n", interval.Host, interval.From.Format(timeFormat), interval.To.Format(timeFormat),
+				interval.Length().Round(time.Millisecond), interval.State, interval.Cause, interval.Note, formatEvidence(interval.Evidence))
 		}
 	}
-	for _, share := range record.Shares(timeline) {
-		fmt.Fprintf(c.out, "%s: could get requests for %v of %v known\n", share.Host, share.Eligible.Round(time.Millisecond), share.Known.Round(time.Millisecond))
+	for _, eligibility := range record.Shares(timeline) {
+		fmt.Fprintf(c.out, "%s: could get requests for %v of %v known\n", eligibility.Host, eligibility.Eligible.Round(time.Millisecond), eligibility.Known.Round(time.Millisecond))
 	}
 	if len(timeline) == 0 {
 		fmt.Fprintf(c.out, "no host holds a record of target %q in this stretch; look into the collected logs\n", c.Target)
 	}
-	return c.missing(e)
+	return c.reportMissing(e)
 }
 
-// missing names the hosts that gave no records.
-func (c *explainCommand) missing(e operator.Explanation) error {
-	for _, missing := range e.Missing {
-		fmt.Fprintf(c.err, "no records from %s\n", missing)
+// reportMissing names the hosts that gave no records.
+func (c *explainCommand) reportMissing(e operator.Explanation) error {
+	for _, host := range e.Missing {
+		fmt.Fprintf(c.err, "no records from %s\n", host)
 	}
 	if len(e.Missing) > 0 {
 		return ErrFindings.New("%d hosts gave no records", len(e.Missing))
@@ -105,8 +105,8 @@
 // timeFormat is how times are shown.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
-// line returns a record as one plain line.
-func line(r record.Record) string {
+// formatRecord returns a record as one plain line.
+func formatRecord(r record.Record) string {
 	text := fmt.Sprintf("%s %s note %d: %s", r.Time.Format(timeFormat), r.Host, r.Note, r.Kind)
 	if r.Service != "" {
 		text += " service " + r.Service
@@ -120,10 +120,10 @@
 	if r.Cause != "" {
 		text += ", cause " + r.Cause
 	}
-	return text + evidence(r.Evidence)
+	return text + formatEvidence(r.Evidence)
 }
 
-func evidence(e record.Evidence) string {
+func formatEvidence(e record.Evidence) string {
 	text := ""
 	if e.Failures > 0 {
 		text += fmt.Sprintf(", %d failures in a row", e.Failures)
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -12,7 +12,7 @@
 )
 
 type measureCommand struct {
-	*root
+	*baseCommand
 	Hosts   []string      `long:"host" required:"true" description:"address of an entry host; several only with --control"`
 	Direct  string        `long:"direct" description:"address of a backend server to compare with"`
 	Path    string        `long:"path" default:"/measure" description:"path to request"`
@@ -25,7 +25,7 @@
 // Execute implements flags.Commander.
 func (c *measureCommand) Execute([]string) error {
 	if c.Control {
-		return c.control()
+		return c.showControl()
 	}
 	if len(c.Hosts) != 1 || c.Direct == "" {
 		return &flags.Error{Type: flags.ErrRequired, Message: "give one --host and one --direct, or --control"}
@@ -42,12 +42,12 @@
 		steps = append(steps, step)
 	}
 	if c.JSON {
-		return c.json(steps)
+		return c.printJSON(steps)
 	}
-	return c.print(steps)
+	return c.printSteps(steps)
 }
 
-func (c *measureCommand) print(steps []measure.Step) error {
+func (c *measureCommand) printSteps(steps []measure.Step) error {
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "Rate\tDirect P50 us\tP99\tP99.9\tThrough P50 us\tP99\tP99.9\tAdded P50 us\tP99\tP99.9\tCore us/request\tAllocations/request\tFailed\t")
 	for _, s := range steps {
@@ -58,19 +58,19 @@
 	return table.Flush()
 }
 
-func (c *measureCommand) control() error {
-	list, err := measure.RunControl(context.Background(), c.Hosts, c.Length)
+func (c *measureCommand) showControl() error {
+	controls, err := measure.RunControl(context.Background(), c.Hosts, c.Length)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return c.json(list)
+		return c.printJSON(controls)
 	}
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "Host\tCore %\tSent B/s\tReceived B/s\tHeap MB\tSystem MB\tGoroutines\t")
-	for _, h := range list {
-		fmt.Fprintf(table, "%s\t%.2f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\t\n", h.Host, 100*h.CoreShare, h.SentPerSec, h.ReceivedPerSec,
-			float64(h.HeapBytes)/(1<<20), float64(h.SystemBytes)/(1<<20), h.Goroutines)
+	for _, control := range controls {
+		fmt.Fprintf(table, "%s\t%.2f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\t\n", control.Host, 100*control.CoreShare, control.SentPerSec, control.ReceivedPerSec,
+			float64(control.HeapBytes)/(1<<20), float64(control.SystemBytes)/(1<<20), control.Goroutines)
 	}
 	return table.Flush()
 }
--- a/internal/command/native_test.go
+++ b/internal/command/native_test.go
@@ -37,15 +37,15 @@
 	server := httptest.NewServer(store.For("h"))
 	defer server.Close()
 	metrics := freeAddress(t)
-	text := fmt.Sprintf("[Host]\nName = g\nDomain = a\nListen = %s\nInner = %s\nMetrics = %s\n[Platform]\nKind = Native\nStore = %s\n",
+	ini := fmt.Sprintf("[Host]\nName = g\nDomain = a\nListen = %s\nInner = %s\nMetrics = %s\n[Platform]\nKind = Native\nStore = %s\n",
 		freeAddress(t), freeAddress(t), metrics, server.URL)
-	s, err := settings.Parse("settings.ini", []byte(text))
+	s, err := settings.Parse("settings.ini", []byte(ini))
 	is.NoErr(err)
-	h, closeHost := openGateway(s, zerolog.Nop())
-	defer closeHost()
+	gateway, closeGateway := newGateway(s, zerolog.Nop())
+	defer closeGateway()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- h.Serve(context.Background(), ctx) }()
+	go func() { done <- gateway.Serve(context.Background(), ctx) }()
 	run := func(arguments ...string) (int, string) {
 		var out bytes.Buffer
 		code := Run(Config{Arguments: append(arguments, "--host", metrics), Out: &out, Err: &out})
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -22,84 +22,86 @@
 	"github.com/matryer/is"
 )
 
-// patience bounds how long the test waits for something that must come; it decides nothing else.
-const patience = 30 * time.Second
+// waitTimeout bounds how long the test waits for something that must come; it decides nothing else.
+const waitTimeout = 30 * time.Second
 
 // process is the real binary at work.
 type process struct {
 	*exec.Cmd
-	lines *bufio.Scanner
+	logLines *bufio.Scanner
 }
 
-// system is a store, two backend servers and three entry hosts as processes.
-type system struct {
-	is     *is.I
-	binary string
-	dir    string
-	store  string
-	hosts  []*process
-	listen []string
+// deployment is a store, two backend servers and three entry hosts as processes.
+type deployment struct {
+	is              *is.I
+	binary          string
+	dir             string
+	store           string
+	hosts           []*process
+	listenAddresses []string
 }
 
-func (s *system) command(arguments ...string) *exec.Cmd { return exec.Command(s.binary, arguments...) }
+func (d *deployment) newCommand(arguments ...string) *exec.Cmd {
+	return exec.Command(d.binary, arguments...)
+}
 
 // run runs a command to its end and returns its exit code and what it printed.
-func (s *system) run(arguments ...string) (int, string) {
-	c := s.command(arguments...)
+func (d *deployment) run(arguments ...string) (int, string) {
+	c := d.newCommand(arguments...)
 	var out bytes.Buffer
 	c.Stdout, c.Stderr = &out, &out
 	if err := c.Run(); c.ProcessState == nil {
-		s.is.NoErr(err)
+		d.is.NoErr(err)
 	}
 	return c.ProcessState.ExitCode(), out.String()
 }
 
-func (s *system) file(name, text string) string {
-	path := filepath.Join(s.dir, name)
-	s.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
+func (d *deployment) writeFile(name, text string) string {
+	path := filepath.Join(d.dir, name)
+	d.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
 // startPlatform starts the stand-ins and returns the backend servers' addresses.
-func (s *system) startPlatform(t *testing.T) []string {
-	c := s.command("standin", "--listen", "127.0.0.1:0", "--backend", "127.0.0.1:0", "--backend", "127.0.0.1:0")
+func (d *deployment) startPlatform(t *testing.T) []string {
+	c := d.newCommand("standin", "--listen", "127.0.0.1:0", "--backend", "127.0.0.1:0", "--backend", "127.0.0.1:0")
 	out, err := c.StdoutPipe()
-	s.is.NoErr(err)
-	s.is.NoErr(c.Start())
+	d.is.NoErr(err)
+	d.is.NoErr(c.Start())
 	t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
 	var backends []string
 	lines := bufio.NewScanner(out)
-	for s.store == "" && lines.Scan() {
+	for d.store == "" && lines.Scan() {
 		if address, found := strings.CutPrefix(lines.Text(), "backend server on "); found {
 			backends = append(backends, address)
 		}
-		if rest, found := strings.CutPrefix(lines.Text(), "key-value service on "); found {
-			s.store, _, _ = strings.Cut(rest, ",")
+		if url, found := strings.CutPrefix(lines.Text(), "key-value service on "); found {
+			d.store, _, _ = strings.Cut(url, ",")
 		}
 	}
 	return backends
 }
 
 // startHost starts an entry host and reads its addresses from its log.
-func (s *system) startHost(t *testing.T, number int, seed string) string {
+func (d *deployment) startHost(t *testing.T, number int, seed string) string {
 	text := fmt.Sprintf("[Host]\nName = entry-%d\nDomain = d%d\nListen = 127.0.0.1:0\nInner = 127.0.0.1:0\n[Platform]\nStore = %s\nHostList = %s/Hosts\n[Peers]\nSeeds = %s\n[Limits]\nAddressMaxAge = 1s\n",
-		number, number, s.store, s.store, seed)
-	c := s.command("serve", "--config", s.file(fmt.Sprintf("entry-%d.ini", number), text))
+		number, number, d.store, d.store, seed)
+	c := d.newCommand("serve", "--config", d.writeFile(fmt.Sprintf("entry-%d.ini", number), text))
 	log, err := c.StderrPipe()
-	s.is.NoErr(err)
-	s.is.NoErr(c.Start())
+	d.is.NoErr(err)
+	d.is.NoErr(c.Start())
 	t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
-	p := &process{c, bufio.NewScanner(log)}
-	for p.lines.Scan() {
+	host := &process{c, bufio.NewScanner(log)}
+	for host.logLines.Scan() {
 		var line struct{ Message, Listen, Inner string }
-		s.is.NoErr(json.Unmarshal(p.lines.Bytes(), &line)) // every log line is JSON
+		d.is.NoErr(json.Unmarshal(host.logLines.Bytes(), &line)) // every log line is JSON
 		if line.Message == "entry host started" {
 			go func() {
-				for p.lines.Scan() {
+				for host.logLines.Scan() {
 					// The log must be read, or the host would wait.
 				}
 			}()
-			s.hosts, s.listen = append(s.hosts, p), append(s.listen, line.Listen)
+			d.hosts, d.listenAddresses = append(d.hosts, host), append(d.listenAddresses, line.Listen)
 			return line.Inner
 		}
 	}
@@ -108,26 +110,26 @@
 }
 
 // eventually waits for a condition.
-func (s *system) eventually(what string, condition func() bool) {
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+func (d *deployment) eventually(description string, condition func() bool) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if condition() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.is.Equal(what, "") // did not come about
+	d.is.Equal(description, "") // did not come about
 }
 
-func (s *system) status() []operator.HostStatus {
-	client, closeClient := operator.New(operator.Config{Hosts: s.listen, Timeout: 500 * time.Millisecond})
+func (d *deployment) status() []operator.HostStatus {
+	client, closeClient := operator.New(operator.Config{Hosts: d.listenAddresses, Timeout: 500 * time.Millisecond})
 	defer closeClient()
 	return client.Status(context.Background())
 }
 
-// agree reports whether the given number of hosts are ready, know as many peers and have a note in force.
-func (s *system) agree(hosts, number int) bool {
+// converged reports whether the given number of hosts are ready, know as many peers and have a note in force.
+func (d *deployment) converged(hosts, number int) bool {
 	count := 0
-	for _, h := range s.status() {
+	for _, h := range d.status() {
 		if h.Error == "" && h.Status.Ready && h.Note.Number == number && len(h.Status.Peers) == hosts-1 {
 			count++
 		}
@@ -137,51 +139,51 @@
 
 // TestProcesses runs the real binary: publish, status, verify, explain, a stop under load, a pause and bad input.
 func TestProcesses(t *testing.T) {
-	s := &system{is: is.New(t), dir: t.TempDir()}
-	s.binary = filepath.Join(s.dir, "briarcroft")
-	build, err := exec.Command("go", "build", "-o", s.binary, "briarcroft/cmd/briarcroft").CombinedOutput()
+	d := &deployment{is: is.New(t), dir: t.TempDir()}
+	d.binary = filepath.Join(d.dir, "briarcroft")
+	build, err := exec.Command("go", "build", "-o", d.binary, "briarcroft/cmd/briarcroft").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %s", err, build)
 	}
-	backends := s.startPlatform(t)
-	s.is.Equal(len(backends), 2)
-	seed := s.startHost(t, 1, "")
-	s.startHost(t, 2, seed)
-	s.startHost(t, 3, seed)
-	first := s.file("first.ini", fmt.Sprintf("[Note]\nFollows = 0\nOperator = o\nReason = first\n[Service s]\n[Rule r]\nPath = /\nService = s\n[Target a]\nService = s\nAddress = %s\nDomain = d1\n[Target b]\nService = s\nAddress = %s\nDomain = d2\n", backends[0], backends[1]))
+	backends := d.startPlatform(t)
+	d.is.Equal(len(backends), 2)
+	seed := d.startHost(t, 1, "")
+	d.startHost(t, 2, seed)
+	d.startHost(t, 3, seed)
+	firstNote := d.writeFile("first.ini", fmt.Sprintf("[Note]\nFollows = 0\nOperator = o\nReason = first\n[Service s]\n[Rule r]\nPath = /\nService = s\n[Target a]\nService = s\nAddress = %s\nDomain = d1\n[Target b]\nService = s\nAddress = %s\nDomain = d2\n", backends[0], backends[1]))
 
-	checkInput(s, first)
-	code, out := s.run("publish", "--store", s.store, "--note", first, "--host", s.listen[0], "--host", s.listen[1], "--host", s.listen[2])
-	s.is.Equal(code, ExitSuccess)
-	s.is.True(strings.HasPrefix(out, "note 1 accepted"))
-	s.is.True(strings.Contains(out, "in force on 3 hosts"))
-	s.eventually("note 1 in force on three hosts", func() bool { return s.agree(3, 1) })
-	code, out = s.run("publish", "--store", s.store, "--note", first)
-	s.is.Equal(code, ExitConflict)
-	s.is.True(strings.Contains(out, "set Follows = 1"))
+	checkExitCodes(d, firstNote)
+	code, out := d.run("publish", "--store", d.store, "--note", firstNote, "--host", d.listenAddresses[0], "--host", d.listenAddresses[1], "--host", d.listenAddresses[2])
+	d.is.Equal(code, ExitSuccess)
+	d.is.True(strings.HasPrefix(out, "note 1 accepted"))
+	d.is.True(strings.Contains(out, "in force on 3 hosts"))
+	d.eventually("note 1 in force on three hosts", func() bool { return d.converged(3, 1) })
+	code, out = d.run("publish", "--store", d.store, "--note", firstNote)
+	d.is.Equal(code, ExitConflict)
+	d.is.True(strings.Contains(out, "set Follows = 1"))
 
-	response, err := http.Get("http://" + s.listen[2] + "/hello")
-	s.is.NoErr(err)
-	s.is.Equal(response.StatusCode, http.StatusOK)
-	s.is.NoErr(response.Body.Close())
+	response, err := http.Get("http://" + d.listenAddresses[2] + "/hello")
+	d.is.NoErr(err)
+	d.is.Equal(response.StatusCode, http.StatusOK)
+	d.is.NoErr(response.Body.Close())
 
-	checkMonitor(s)
-	checkPause(s)
-	checkStop(s)
+	checkOperatorCommands(d)
+	checkPausedHost(d)
+	checkGracefulStop(d)
 }
 
-// checkInput gives bad input to check and publish; nothing may change.
-func checkInput(s *system, first string) {
-	bad := s.file("bad.ini", "[Note]\nFollows = 0\nOperator = o\nReason = r\n[Service s]\nHome = 1\n")
+// checkExitCodes gives bad input to check and publish; nothing may change.
+func checkExitCodes(d *deployment, validNote string) {
+	invalidNote := d.writeFile("bad.ini", "[Note]\nFollows = 0\nOperator = o\nReason = r\n[Service s]\nHome = 1\n")
 	cases := []struct {
 		arguments []string
 		code      int
 		want      string
 	}{
-		{[]string{"check", "--note", first}, ExitSuccess, "in order"},
-		{[]string{"check", "--note", bad}, ExitBadInput, "bad.ini:6: section [Service s] key Home is unknown"},
-		{[]string{"publish", "--store", s.store, "--note", bad}, ExitBadInput, "key Home is unknown"},
-		{[]string{"check", "--config", filepath.Join(s.dir, "none.ini")}, ExitBadInput, "name a readable INI file"},
+		{[]string{"check", "--note", validNote}, ExitSuccess, "in order"},
+		{[]string{"check", "--note", invalidNote}, ExitBadInput, "bad.ini:6: section [Service s] key Home is unknown"},
+		{[]string{"publish", "--store", d.store, "--note", invalidNote}, ExitBadInput, "key Home is unknown"},
+		{[]string{"check", "--config", filepath.Join(d.dir, "none.ini")}, ExitBadInput, "name a readable INI file"},
 		{[]string{"check"}, ExitBadInput, "--config or --note"},
 		{[]string{"nonsense"}, ExitBadInput, "nknown command"},
 		{[]string{"publish", "--help"}, ExitSuccess, "--store"},
@@ -190,71 +192,71 @@
 		{[]string{"status", "--host", "127.0.0.1:1"}, ExitSuccess, "check that the host runs"},
 	}
 	for _, c := range cases {
-		code, out := s.run(c.arguments...)
+		code, out := d.run(c.arguments...)
 		if code != c.code || !strings.Contains(out, c.want) {
-			s.is.Equal(fmt.Sprint(c.arguments, " exit ", code, ": ", out), c.want)
+			d.is.Equal(fmt.Sprint(c.arguments, " exit ", code, ": ", out), c.want)
 		}
 	}
-	s.is.Equal(s.status()[0].Note.Number, 0)
+	d.is.Equal(d.status()[0].Note.Number, 0)
 }
 
-// checkMonitor reads explanations and verifies the chain.
-func checkMonitor(s *system) {
-	hosts := []string{"--host", s.listen[0], "--host", s.listen[1], "--host", s.listen[2]}
-	code, out := s.run(append([]string{"verify", "--store", s.store}, hosts...)...)
-	s.is.Equal(code, ExitSuccess)
-	s.is.Equal(strings.Count(out, "agrees"), 3)
-	code, out = s.run(append([]string{"explain", "--target", "a"}, hosts...)...)
-	s.is.Equal(code, ExitSuccess)
-	s.is.Equal(strings.Count(out, "TargetMoved service s target a from \"Absent\" to \"Live\", cause AddedByNote"), 3)
-	code, out = s.run(append([]string{"explain", "--target", "a", "--why"}, hosts...)...)
-	s.is.Equal(code, ExitSuccess)
-	s.is.Equal(strings.Count(out, "could get requests for"), 3)
-	code, _ = s.run(append([]string{"explain", "--why"}, hosts...)...)
-	s.is.Equal(code, ExitBadInput)
-	code, out = s.run(append([]string{"addresses", "--service", "s", "--json"}, hosts...)...)
-	s.is.Equal(code, ExitSuccess)
-	s.is.True(strings.Contains(out, "\"Grant\": \"g1.entry-1."))
-	page := filepath.Join(s.dir, "report.html")
-	code, _ = s.run(append([]string{"report", "--store", s.store, "--out", page}, hosts...)...)
-	s.is.Equal(code, ExitSuccess)
+// checkOperatorCommands reads explanations and verifies the chain.
+func checkOperatorCommands(d *deployment) {
+	hosts := []string{"--host", d.listenAddresses[0], "--host", d.listenAddresses[1], "--host", d.listenAddresses[2]}
+	code, out := d.run(append([]string{"verify", "--store", d.store}, hosts...)...)
+	d.is.Equal(code, ExitSuccess)
+	d.is.Equal(strings.Count(out, "agrees"), 3)
+	code, out = d.run(append([]string{"explain", "--target", "a"}, hosts...)...)
+	d.is.Equal(code, ExitSuccess)
+	d.is.Equal(strings.Count(out, "TargetMoved service s target a from \"Absent\" to \"Live\", cause AddedByNote"), 3)
+	code, out = d.run(append([]string{"explain", "--target", "a", "--why"}, hosts...)...)
+	d.is.Equal(code, ExitSuccess)
+	d.is.Equal(strings.Count(out, "could get requests for"), 3)
+	code, _ = d.run(append([]string{"explain", "--why"}, hosts...)...)
+	d.is.Equal(code, ExitBadInput)
+	code, out = d.run(append([]string{"addresses", "--service", "s", "--json"}, hosts...)...)
+	d.is.Equal(code, ExitSuccess)
+	d.is.True(strings.Contains(out, "\"Grant\": \"g1.entry-1."))
+	page := filepath.Join(d.dir, "report.html")
+	code, _ = d.run(append([]string{"report", "--store", d.store, "--out", page}, hosts...)...)
+	d.is.Equal(code, ExitSuccess)
 	text, err := os.ReadFile(page)
-	s.is.NoErr(err)
-	s.is.Equal(strings.Count(string(text), ">agrees<"), 3)
-	code, _ = s.run(append([]string{"report", "--store", s.store, "--out", page}, hosts...)...)
-	s.is.Equal(code, ExitFailed) // an existing file is not overwritten
-	code, _ = s.run(append([]string{"verify", "--store", s.store, "--host", "127.0.0.1:1"}, hosts...)...)
-	s.is.Equal(code, ExitFailed)
+	d.is.NoErr(err)
+	d.is.Equal(strings.Count(string(text), ">agrees<"), 3)
+	code, _ = d.run(append([]string{"report", "--store", d.store, "--out", page}, hosts...)...)
+	d.is.Equal(code, ExitFailed) // an existing file is not overwritten
+	code, _ = d.run(append([]string{"verify", "--store", d.store, "--host", "127.0.0.1:1"}, hosts...)...)
+	d.is.Equal(code, ExitFailed)
 }
 
-// checkPause freezes a host: the others must take it out of their answers and take it back after it woke.
-func checkPause(s *system) {
-	paused := s.hosts[1]
-	s.is.NoErr(paused.Process.Signal(syscall.SIGSTOP))
-	s.eventually("two hosts without the paused one", func() bool {
+// checkPausedHost freezes a host: the others must take it out of their answers and take it back after it woke.
+func checkPausedHost(d *deployment) {
+	paused := d.hosts[1]
+	d.is.NoErr(paused.Process.Signal(syscall.SIGSTOP))
+	d.eventually("two hosts without the paused one", func() bool {
 		count := 0
-		for i, h := range s.status() {
+		for i, h := range d.status() {
 			if i != 1 && h.Error == "" && len(h.Status.Peers) == 1 {
 				count++
 			}
 		}
 		return count == 2
 	})
-	s.is.NoErr(paused.Process.Signal(syscall.SIGCONT))
-	s.eventually("three hosts again", func() bool { return s.agree(3, 1) })
-	code, out := s.run("explain", "--host", s.listen[1])
-	s.is.Equal(code, ExitSuccess)
-	s.is.True(strings.Contains(out, "HostPaused"))
+	d.is.NoErr(paused.Process.Signal(syscall.SIGCONT))
+	d.eventually("three hosts again", func() bool { return d.converged(3, 1) })
+	code, out := d.run("explain", "--host", d.listenAddresses[1])
+	d.is.Equal(code, ExitSuccess)
+	d.is.True(strings.Contains(out, "HostPaused"))
 }
 
-// checkStop sends SIGTERM to a host under load: no request may be cut, and the exit code must be 0.
-func checkStop(s *system) {
+// checkGracefulStop sends SIGTERM to a host under load: no request may be cut, and the exit code must be 0.
+func checkGracefulStop(d *deployment) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	var mu sync.Mutex
 	failures := 0
 	for i := range 6 {
-		client, closeClient := caller.New(caller.Config{Seeds: s.listen, Seed: uint64(i)})
+		client, closeClient := caller.New(caller.Config{Seeds: d.listenAddresses, Seed: uint64(i)})
 		load.Go(func() {
 			defer closeClient()
 			for n := 0; ctx.Err() == nil; n++ {
@@ -262,8 +264,8 @@
 				if i%2 == 0 {
 					r.Method, r.Once = http.MethodPost, true
 				}
-				answer, err := client.Do(context.Background(), r)
-				if err != nil || answer.Status != http.StatusOK || answer.Sends != 1 {
+				response, err := client.Do(context.Background(), r)
+				if err != nil || response.Status != http.StatusOK || response.Sends != 1 {
 					mu.Lock()
 					failures++
 					mu.Unlock()
@@ -271,17 +273,17 @@
 			}
 		})
 	}
-	code, out := s.run("addresses", "--service", "s", "--host", s.listen[0])
-	s.is.Equal(code, ExitSuccess)
+	code, out := d.run("addresses", "--service", "s", "--host", d.listenAddresses[0])
+	d.is.Equal(code, ExitSuccess)
 	home := 0
-	for i, listen := range s.listen {
+	for i, listen := range d.listenAddresses {
 		if strings.HasPrefix(strings.Split(out, "\n")[1], listen) {
 			home = i
 		}
 	}
-	s.is.NoErr(s.hosts[home].Process.Signal(syscall.SIGTERM))
-	s.is.NoErr(s.hosts[home].Wait()) // exit code 0
+	d.is.NoErr(d.hosts[home].Process.Signal(syscall.SIGTERM))
+	d.is.NoErr(d.hosts[home].Wait()) // exit code 0
 	cancel()
 	load.Wait()
-	s.is.Equal(failures, 0) // requests cut or sent again
+	d.is.Equal(failures, 0) // requests cut or sent again
 }
--- a/internal/command/publish.go
+++ b/internal/command/publish.go
@@ -13,8 +13,8 @@
 )
 
 type publishCommand struct {
-	*root
-	storeOption
+	*baseCommand
+	storeOptions
 	Note string `long:"note" required:"true" description:"release note in INI"`
 	JSON bool   `long:"json" description:"print the accepted record as JSON"`
 	// Hosts are waited for after the acceptance.
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	store, closeStore := c.open()
+	store, closeStore := c.openStore()
 	defer closeStore()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -37,45 +37,45 @@
 		return err
 	}
 	if c.JSON {
-		err = c.json(record)
+		err = c.printJSON(record)
 	} else {
 		_, err = fmt.Fprintf(c.out, "note %d accepted, hash %s\n", record.Number, record.Hash())
 	}
 	if err != nil || len(c.Hosts) == 0 {
 		return err
 	}
-	return c.await(ctx, record.Number)
+	return c.awaitInForce(ctx, record.Number)
 }
 
-// awaitPause is the time between two looks at the hosts.
-const awaitPause = 50 * time.Millisecond
+// pollInterval is the time between two looks at the hosts.
+const pollInterval = 50 * time.Millisecond
 
-// await waits until the note, or a later one, is in force on every host; errors are ErrLate.
-func (c *publishCommand) await(ctx context.Context, number int) error {
+// awaitInForce waits until the note, or a later one, is in force on every host; errors are ErrLate.
+func (c *publishCommand) awaitInForce(ctx context.Context, number int) error {
 	client, closeClient := operator.New(operator.Config{Hosts: c.Hosts, Timeout: time.Second})
 	defer closeClient()
-	started := time.Now()
+	start := time.Now()
 	for {
-		late := lateHosts(client.Status(ctx), number)
-		if len(late) == 0 {
-			_, err := fmt.Fprintf(c.err, "in force on %d hosts after %v\n", len(c.Hosts), time.Since(started).Round(time.Millisecond))
+		pending := pendingHosts(client.Status(ctx), number)
+		if len(pending) == 0 {
+			_, err := fmt.Fprintf(c.err, "in force on %d hosts after %v\n", len(c.Hosts), time.Since(start).Round(time.Millisecond))
 			return err
 		}
 		select {
-		case <-time.After(awaitPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return ErrNotInForce.New("note %d is accepted but not yet in force on %s; look again with status", number, strings.Join(late, ", "))
+			return ErrNotInForce.New("note %d is accepted but not yet in force on %s; look again with status", number, strings.Join(pending, ", "))
 		}
 	}
 }
 
-// lateHosts returns the addresses of hosts that are not ready or have an earlier note in force.
-func lateHosts(list []operator.HostStatus, number int) []string {
-	var late []string
-	for _, s := range list {
+// pendingHosts returns the addresses of hosts that are not ready or have an earlier note in force.
+func pendingHosts(statuses []operator.HostStatus, number int) []string {
+	var pending []string
+	for _, s := range statuses {
 		if s.Error != "" || !s.Status.Ready || s.Note.Number < number {
-			late = append(late, s.Address)
+			pending = append(pending, s.Address)
 		}
 	}
-	return late
+	return pending
 }
--- a/internal/command/report.go
+++ b/internal/command/report.go
@@ -15,8 +15,8 @@
 )
 
 type reportCommand struct {
-	*root
-	hostsOption
+	*baseCommand
+	hostsOptions
 	Store string        `long:"store" required:"true" description:"URL of the platform's key-value service"`
 	Since time.Duration `long:"since" default:"1h" description:"how far back"`
 	Out   string        `long:"out" required:"true" description:"file to write; it must not exist yet"`
@@ -40,7 +40,7 @@
 		// A target's state at the start of the stretch is in an older record.
 		Explanation: client.Explain(ctx, "", time.Time{}),
 	}
-	if err := c.write(source); err != nil {
+	if err := c.writeFile(source); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(c.out, "%s written\n", c.Out)
@@ -50,7 +50,7 @@
 	return err
 }
 
-func (c *reportCommand) write(source report.Source) error {
+func (c *reportCommand) writeFile(source report.Source) error {
 	file, err := os.OpenFile(c.Out, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
 		return errorx.Decorate(err, "--out: name a new file in a folder that can be written")
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -17,19 +17,19 @@
 	"github.com/rs/zerolog"
 )
 
-// gcPercent is how far the heap may grow between two collections; a host's live heap is a few megabytes.
-const gcPercent = 400
+// entryHostGCPercent is how far the heap may grow between two collections; a host's live heap is a few megabytes.
+const entryHostGCPercent = 400
 
-// gatewayPercent is the same for hosts whose memory is paid for.
-const gatewayPercent = 40
+// gatewayGCPercent is the same for hosts whose memory is paid for.
+const gatewayGCPercent = 40
 
 type serveCommand struct {
-	*root
+	*baseCommand
 	Config string `long:"config" required:"true" env:"BRIARCROFT_BOOT" description:"settings file in INI"`
 }
 
-// reloadEvery is how often the settings file is read for changes that come without a signal.
-const reloadEvery = 2 * time.Second
+// settingsCheckInterval is how often the settings file is read for changes that come without a signal.
+const settingsCheckInterval = 2 * time.Second
 
 // server is a host of either kind.
 type server interface {
@@ -46,48 +46,48 @@
 	if err != nil {
 		return err
 	}
-	logger := c.logger(s.Log.Level).With().Str("Host", s.Host.Name).Logger()
-	stop, force, release := signals()
+	logger := c.newLogger(s.Log.Level).With().Str("Host", s.Host.Name).Logger()
+	stop, force, release := shutdownContexts()
 	defer release()
-	h, closeHost, err := c.open(s, logger)
+	h, closeHost, err := c.newServer(s, logger)
 	if err != nil {
 		return err
 	}
 	defer closeHost()
 	logger.Info().Str("Listen", h.Listen()).Str("Inner", h.Inner()).Str("Platform", s.Platform.Kind).Msg("entry host started")
-	defer c.follow(h, logger)()
+	defer c.watchSettings(h, logger)()
 	err = h.Serve(stop, force)
 	logger.Info().Err(err).Msg("entry host stopped")
 	return err
 }
 
-// follow hands changed settings to the host; the function that it returns ends that.
-func (c *serveCommand) follow(h server, logger zerolog.Logger) func() {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// watchSettings hands changed settings to the host; the function that it returns ends that.
+func (c *serveCommand) watchSettings(h server, logger zerolog.Logger) func() {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := settings.Follow(ctx, settings.FollowConfig{
-		File: c.Config, Every: reloadEvery, Hup: hup, OnChange: h.Reload,
+		File: c.Config, Every: settingsCheckInterval, Hup: hangups, OnChange: h.Reload,
 		OnRefused: func(err error) { logger.Error().Err(err).Msg("new settings refused; the old ones stay in force") },
 	})
 	return func() {
-		signal.Stop(hup)
+		signal.Stop(hangups)
 		cancel()
 		<-done
 	}
 }
 
-// open returns the host that the settings ask for and the function that closes it.
-func (c *serveCommand) open(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
+// newServer returns the host that the settings ask for and the function that closes it.
+func (c *serveCommand) newServer(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
 	if s.Platform.Kind == "Native" {
-		h, closeHost := openGateway(s, logger.Output(c.out))
+		h, closeHost := newGateway(s, logger.Output(c.out))
 		return h, closeHost, nil
 	}
-	return openEntry(s, logger)
+	return newEntryHost(s, logger)
 }
 
-func openGateway(s settings.Settings, logger zerolog.Logger) (server, func()) {
-	debug.SetGCPercent(gatewayPercent)
+func newGateway(s settings.Settings, logger zerolog.Logger) (server, func()) {
+	debug.SetGCPercent(gatewayGCPercent)
 	if s.Limits.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryBytes))
 	}
@@ -99,25 +99,25 @@
 	}
 }
 
-func openEntry(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
-	debug.SetGCPercent(gcPercent)
+func newEntryHost(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
+	debug.SetGCPercent(entryHostGCPercent)
 	store, closeStore := internalplatform.NewEtcd(internalplatform.EtcdConfig{URL: s.Platform.Store, Timeout: s.Platform.Timeout})
-	closeList := func() {}
+	closeHostList := func() {}
 	config := entry.Config{Settings: s, Logger: logger, Store: store}
 	if s.Platform.HostList != "" {
-		config.HostList, closeList = internalplatform.NewHostList(internalplatform.HostListConfig{URL: s.Platform.HostList, Timeout: s.Platform.Timeout})
+		config.HostList, closeHostList = internalplatform.NewHostList(internalplatform.HostListConfig{URL: s.Platform.HostList, Timeout: s.Platform.Timeout})
 	}
-	closeAll := func() {
-		closeList()
+	closeClients := func() {
+		closeHostList()
 		closeStore()
 	}
 	h, closeHost, err := entry.New(config)
 	if err != nil {
-		closeAll()
+		closeClients()
 		return nil, nil, err
 	}
 	return h, func() {
 		closeHost()
-		closeAll()
+		closeClients()
 	}, nil
 }
--- a/internal/command/signals_test.go
+++ b/internal/command/signals_test.go
@@ -11,7 +11,7 @@
 // TestRepeatedSigtermCutsNothing sends SIGTERM again and again, as some supervisors do: only a second SIGINT ends a graceful stop.
 func TestRepeatedSigtermCutsNothing(t *testing.T) {
 	is := is.New(t)
-	stop, force, release := signals()
+	stop, force, release := shutdownContexts()
 	defer release()
 	send := func(s syscall.Signal) { is.NoErr(syscall.Kill(syscall.Getpid(), s)) }
 	send(syscall.SIGTERM)
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -14,15 +14,15 @@
 )
 
 type standinCommand struct {
-	*root
+	*baseCommand
 	Listen   string        `long:"listen" default:"127.0.0.1:2379" description:"address of the key-value service and host list"`
 	Backends []string      `long:"backend" description:"address of a sample backend server; may be given several times"`
 	Slots    int           `long:"slots" default:"4" description:"slots of each sample backend server"`
 	Work     time.Duration `long:"work" default:"5ms" description:"mean time that a sample backend server takes"`
 }
 
-// sampleBytes is the size of a sample answer.
-const sampleBytes = 256
+// sampleResponseBytes is the size of a sample answer.
+const sampleResponseBytes = 256
 
 // Execute implements flags.Commander.
 func (c *standinCommand) Execute([]string) error {
@@ -34,27 +34,27 @@
 		return errorx.Decorate(err, "--listen: choose a free address")
 	}
 	server := &http.Server{Handler: standin.New(), ReadHeaderTimeout: 5 * time.Second}
-	done := make(chan error, 1)
-	go func() { done <- server.Serve(listener) }()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
 	for i, address := range c.Backends {
-		target, stopTarget, err := demo.NewTarget(demo.TargetConfig{
-			Listen: address, Slots: c.Slots, Work: c.Work, AnswerBytes: sampleBytes, Seed: uint64(i),
+		backend, stopBackend, err := demo.NewTarget(demo.TargetConfig{
+			Listen: address, Slots: c.Slots, Work: c.Work, AnswerBytes: sampleResponseBytes, Seed: uint64(i),
 		})
 		if err != nil {
 			return errorx.Decorate(err, "--backend: choose a free address")
 		}
-		defer stopTarget()
-		fmt.Fprintf(c.out, "backend server on %s\n", target.Address())
+		defer stopBackend()
+		fmt.Fprintf(c.out, "backend server on %s\n", backend.Address())
 	}
 	fmt.Fprintf(c.out, "key-value service on http://%s, host list on http://%s/Hosts\n", listener.Addr(), listener.Addr())
-	stop, _, release := signals()
+	stop, _, release := shutdownContexts()
 	defer release()
 	select {
 	case <-stop.Done():
-	case err := <-done:
+	case err := <-served:
 		return err
 	}
 	err = server.Close()
-	<-done
+	<-served
 	return err
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -10,8 +10,8 @@
 )
 
 type statusCommand struct {
-	*root
-	hostsOption
+	*baseCommand
+	hostsOptions
 	JSON bool `long:"json" description:"print everything that the hosts tell, as JSON"`
 }
 
@@ -19,20 +19,20 @@
 func (c *statusCommand) Execute([]string) error {
 	client, closeClient := operator.New(operator.Config{Hosts: c.Hosts, Timeout: c.Timeout})
 	defer closeClient()
-	list := client.Status(context.Background())
+	statuses := client.Status(context.Background())
 	if c.JSON {
-		return c.json(list)
+		return c.printJSON(statuses)
 	}
-	if err := c.hosts(list); err != nil {
+	if err := c.printHosts(statuses); err != nil {
 		return err
 	}
-	return c.latencies(list)
+	return c.printLatencies(statuses)
 }
 
-func (c *statusCommand) hosts(list []operator.HostStatus) error {
+func (c *statusCommand) printHosts(statuses []operator.HostStatus) error {
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "Address\tHost\tDomain\tReady\tLeaving\tNote\tHash\tIn force since\tPeers\tRequests")
-	for _, s := range list {
+	for _, s := range statuses {
 		if s.Error != "" {
 			fmt.Fprintf(table, "%s\t%s\n", s.Address, s.Error)
 			continue
@@ -43,10 +43,10 @@
 	return table.Flush()
 }
 
-func (c *statusCommand) latencies(list []operator.HostStatus) error {
+func (c *statusCommand) printLatencies(statuses []operator.HostStatus) error {
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "\nHost\tService\tClass\tCount\tP50 us\tP99 us\tP99.9 us\tMax us\t")
-	for _, s := range list {
+	for _, s := range statuses {
 		for _, l := range s.Status.Latency {
 			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Status.Host, l.Service, l.Class, l.Count, l.P50, l.P99, l.P999, l.Max)
 		}
--- a/internal/command/verify.go
+++ b/internal/command/verify.go
@@ -10,8 +10,8 @@
 )
 
 type verifyCommand struct {
-	*root
-	hostsOption
+	*baseCommand
+	hostsOptions
 	Store string `long:"store" required:"true" description:"URL of the platform's key-value service"`
 	Kind  string `long:"kind" choice:"Etcd" choice:"Native" default:"Etcd" description:"protocol of the store: Etcd, or Native for the users' platform"`
 	JSON  bool   `long:"json" description:"print the findings as JSON"`
@@ -27,9 +27,9 @@
 		return err
 	}
 	if c.JSON {
-		err = c.json(v)
+		err = c.printJSON(v)
 	} else {
-		err = c.print(v)
+		err = c.printFindings(v)
 	}
 	if err == nil && !v.Agrees() {
 		return ErrFindings.New("the chain or a host differs")
@@ -53,18 +53,18 @@
 	return operator.Verify(ctx, store, hosts)
 }
 
-func (c *verifyCommand) print(v operator.Verification) error {
+func (c *verifyCommand) printFindings(v operator.Verification) error {
 	if v.Chain != "" {
 		fmt.Fprintf(c.out, "chain: broken after note %d: %s\n", v.Number, v.Chain)
 	} else {
 		fmt.Fprintf(c.out, "chain: %d notes in order, head %s\n", v.Number, v.Hash)
 	}
 	for _, f := range v.Findings {
-		word := "agrees"
+		result := "agrees"
 		if !f.Agrees {
-			word = "differs: " + f.Detail
+			result = "differs: " + f.Detail
 		}
-		if _, err := fmt.Fprintf(c.out, "%s %s: %s\n", f.Address, f.Host, word); err != nil {
+		if _, err := fmt.Fprintf(c.out, "%s %s: %s\n", f.Address, f.Host, result); err != nil {
 			return err
 		}
 	}
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -9,7 +9,7 @@
 var Version = "development"
 
 type versionCommand struct {
-	*root
+	*baseCommand
 }
 
 // Execute implements flags.Commander.
--- a/internal/fakenet/network.go
+++ b/internal/fakenet/network.go
@@ -12,18 +12,18 @@
 
 // Network holds the listeners and connections of all nodes.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*pipeListener
-	parted    map[[2]string]bool
-	conns     map[*pipeConn]bool
-	next      int
+	mu          sync.Mutex
+	listeners   map[string]*pipeListener
+	partitioned map[[2]string]bool
+	conns       map[*pipeConn]bool
+	addresses   int
 }
 
 var errRefused = errors.New("connection refused")
 
 // New returns a network without nodes.
 func New() *Network {
-	return &Network{listeners: map[string]*pipeListener{}, parted: map[[2]string]bool{}, conns: map[*pipeConn]bool{}}
+	return &Network{listeners: map[string]*pipeListener{}, partitioned: map[[2]string]bool{}, conns: map[*pipeConn]bool{}}
 }
 
 type pipeListener struct {
@@ -72,8 +72,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if address == "" {
-		n.next++
-		address = fmt.Sprintf("10.0.%d.%d:80", n.next/250, n.next%250+1)
+		n.addresses++
+		address = fmt.Sprintf("10.0.%d.%d:80", n.addresses/250, n.addresses%250+1)
 	}
 	l := &pipeListener{network: n, node: node, address: pipeAddress(address), accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
@@ -83,18 +83,18 @@
 // pipeConn is one end of a connection; what a silent end writes is lost.
 type pipeConn struct {
 	net.Conn
-	network  *Network
-	from, to string
-	silent   bool
+	network    *Network
+	from, to   string
+	blackholed bool
 }
 
 // Write implements net.Conn.
 func (c *pipeConn) Write(p []byte) (int, error) {
 	c.network.mu.Lock()
-	lost := c.silent || c.network.parted[[2]string{c.from, c.to}]
-	c.silent = lost
+	dropped := c.blackholed || c.network.partitioned[[2]string{c.from, c.to}]
+	c.blackholed = dropped
 	c.network.mu.Unlock()
-	if lost {
+	if dropped {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -103,10 +103,10 @@
 // Close implements net.Conn.
 func (c *pipeConn) Close() error {
 	c.network.mu.Lock()
-	silent := c.silent
+	blackholed := c.blackholed
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
-	if silent {
+	if blackholed {
 		// The other end never learns of it; it is closed when the test ends.
 		return c.Conn.SetDeadline(time.Now())
 	}
@@ -121,18 +121,18 @@
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		n.mu.Lock()
 		l := n.listeners[address]
-		parted := l != nil && (n.parted[[2]string{node, l.node}] || n.parted[[2]string{l.node, node}])
+		partitioned := l != nil && (n.partitioned[[2]string{node, l.node}] || n.partitioned[[2]string{l.node, node}])
 		n.mu.Unlock()
 		if l == nil {
 			return nil, errRefused
 		}
-		if parted {
+		if partitioned {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		near, far := net.Pipe()
-		client := &pipeConn{Conn: near, network: n, from: node, to: l.node}
-		server := &pipeConn{Conn: far, network: n, from: l.node, to: node}
+		clientEnd, serverEnd := net.Pipe()
+		client := &pipeConn{Conn: clientEnd, network: n, from: node, to: l.node}
+		server := &pipeConn{Conn: serverEnd, network: n, from: l.node, to: node}
 		n.mu.Lock()
 		n.conns[client], n.conns[server] = true, true
 		n.mu.Unlock()
@@ -148,15 +148,15 @@
 }
 
 // Partition cuts two nodes off from each other.
-func (n *Network) Partition(a, b string) { n.setParted(a, b, true) }
+func (n *Network) Partition(a, b string) { n.setPartitioned(a, b, true) }
 
 // Heal joins two nodes again.
-func (n *Network) Heal(a, b string) { n.setParted(a, b, false) }
+func (n *Network) Heal(a, b string) { n.setPartitioned(a, b, false) }
 
-func (n *Network) setParted(a, b string, parted bool) {
+func (n *Network) setPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.parted[[2]string{a, b}], n.parted[[2]string{b, a}] = parted, parted
+	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = partitioned, partitioned
 }
 
 // Blackhole makes every open connection between two nodes silent for good; new ones work.
@@ -166,7 +166,7 @@
 	count := 0
 	for c := range n.conns {
 		if c.from == a && c.to == b || c.from == b && c.to == a {
-			c.silent = true
+			c.blackholed = true
 			count++
 		}
 	}
@@ -179,7 +179,7 @@
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.from == from && c.to == to {
-			c.silent = true
+			c.blackholed = true
 		}
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -35,8 +35,8 @@
 
 // Client asks a list of entry hosts.
 type Client struct {
-	config Config
-	http   *http.Client
+	config     Config
+	httpClient *http.Client
 }
 
 // New returns a client and the function that closes its connections.
@@ -55,18 +55,18 @@
 
 // Status asks every host, at the same time.
 func (c *Client) Status(ctx context.Context) []HostStatus {
-	list := make([]HostStatus, len(c.config.Hosts))
-	c.each(func(i int, host string) {
-		list[i].Address = host
-		err := c.get(ctx, host, "/Note", &list[i].Note)
+	statuses := make([]HostStatus, len(c.config.Hosts))
+	c.forEachHost(func(i int, host string) {
+		statuses[i].Address = host
+		err := c.getJSON(ctx, host, "/Note", &statuses[i].Note)
 		if err == nil {
-			err = c.get(ctx, host, "/Status", &list[i].Status)
+			err = c.getJSON(ctx, host, "/Status", &statuses[i].Status)
 		}
 		if err != nil {
-			list[i].Error = err.Error()
+			statuses[i].Error = err.Error()
 		}
 	})
-	return list
+	return statuses
 }
 
 // Explanation holds the records of all hosts, and the hosts that gave none.
@@ -80,16 +80,16 @@
 	var mu sync.Mutex
 	var e Explanation
 	query := url.Values{"Target": {target}, "Since": {since.UTC().Format(time.RFC3339)}}
-	c.each(func(_ int, host string) {
-		var answer struct{ Records []record.Record }
-		err := c.get(ctx, host, "/Explain?"+query.Encode(), &answer)
+	c.forEachHost(func(_ int, host string) {
+		var response struct{ Records []record.Record }
+		err := c.getJSON(ctx, host, "/Explain?"+query.Encode(), &response)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
 			e.Missing = append(e.Missing, fmt.Sprintf("%s: %v", host, err))
 			return
 		}
-		e.Records = append(e.Records, answer.Records...)
+		e.Records = append(e.Records, response.Records...)
 	})
 	record.Sort(e.Records)
 	slices.Sort(e.Missing)
@@ -98,15 +98,15 @@
 
 // Addresses asks the first host that answers for a service's addresses; errors are ErrHost.
 func (c *Client) Addresses(ctx context.Context, service, domain string) (address.Response, error) {
-	var answer address.Response
+	var response address.Response
 	var err error
 	query := url.Values{"Service": {service}, "Domain": {domain}}
 	for _, host := range c.config.Hosts {
-		if err = c.get(ctx, host, "/Addresses?"+query.Encode(), &answer); err == nil {
-			return answer, nil
+		if err = c.getJSON(ctx, host, "/Addresses?"+query.Encode(), &response); err == nil {
+			return response, nil
 		}
 	}
-	return answer, err
+	return response, err
 }
 
 // Finding is what the monitor's check found on one host.
@@ -143,7 +143,7 @@
 		v.Chain = err.Error()
 	}
 	for _, s := range hosts {
-		v.Findings = append(v.Findings, compare(s, head, hashes))
+		v.Findings = append(v.Findings, compareHost(s, head, hashes))
 	}
 	return v, nil
 }
@@ -168,16 +168,16 @@
 	return v
 }
 
-// compare checks one host's note against the chain.
-func compare(s HostStatus, head note.Record, hashes map[int]string) Finding {
+// compareHost checks one host's note against the chain.
+func compareHost(s HostStatus, head note.Record, hashes map[int]string) Finding {
 	f := Finding{Address: s.Address, Host: s.Note.Host, Number: s.Note.Number}
-	known, inChain := hashes[s.Note.Number]
+	hash, inChain := hashes[s.Note.Number]
 	switch {
 	case s.Error != "":
 		f.Detail = "did not answer: " + s.Error
 	case !inChain && s.Note.Number != 0:
 		f.Detail = fmt.Sprintf("has note %d in force, which the chain does not hold", s.Note.Number)
-	case known != s.Note.Hash && s.Note.Number != 0:
+	case hash != s.Note.Hash && s.Note.Number != 0:
 		f.Detail = fmt.Sprintf("has another note %d in force than the chain", s.Note.Number)
 	case s.Note.Number != head.Number:
 		f.Detail = fmt.Sprintf("has note %d in force; the newest is %d", s.Note.Number, head.Number)
@@ -189,15 +189,15 @@
 	return f
 }
 
-func (c *Client) each(ask func(i int, host string)) {
+func (c *Client) forEachHost(fn func(i int, host string)) {
 	var group sync.WaitGroup
 	for i, host := range c.config.Hosts {
-		group.Go(func() { ask(i, host) })
+		group.Go(func() { fn(i, host) })
 	}
 	group.Wait()
 }
 
-func (c *Client) get(ctx context.Context, host, path string, answer any) error {
+func (c *Client) getJSON(ctx context.Context, host, path string, value any) error {
 	if !strings.Contains(host, "://") {
 		host = "http://" + host
 	}
@@ -205,7 +205,7 @@
 	if err != nil {
 		return ErrHostRequest.New("%v; write the host as IP:PORT", err)
 	}
-	response, err := c.http.Do(r)
+	response, err := c.httpClient.Do(r)
 	if err != nil {
 		return ErrHostRequest.New("%v; check that the host runs", err)
 	}
@@ -214,7 +214,7 @@
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
 		return ErrHostRequest.New("answered %s %s", response.Status, strings.TrimSpace(string(text)))
 	}
-	if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
 		return ErrHostRequest.New("answer cannot be read: %v", err)
 	}
 	return nil
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -38,32 +38,32 @@
 }
 
 // setUserTimeout bounds how long the kernel waits for an acknowledgement of sent bytes.
-func setUserTimeout(raw syscall.RawConn, silence time.Duration) error {
-	var failed error
+func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
 // Stale reports whether an idle connection has ended, or holds bytes that nobody asked for. It never blocks.
 func Stale(c net.Conn) bool {
-	holder, raw := c.(syscall.Conn)
-	if !raw {
+	sysConn, ok := c.(syscall.Conn)
+	if !ok {
 		return false
 	}
-	control, err := holder.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return true
 	}
 	stale := false
-	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, received := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		stale = n > 0 || received != unix.EAGAIN && received != unix.EWOULDBLOCK
+	err = rawConn.Read(func(fd uintptr) bool {
+		var buffer [1]byte
+		n, _, recvErr := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		stale = n > 0 || recvErr != unix.EAGAIN && recvErr != unix.EWOULDBLOCK
 		return true
 	})
 	return stale || err != nil
