--- a/internal/command/addresses.go
+++ b/internal/command/addresses.go
@@ -10,9 +10,9 @@
 type addressesCommand struct {
 	*baseCommand
 	hostsOptions
-	Service string `long:"service" required:"true" description:"service to ask for"`
-	Domain  string `long:"domain" description:"the caller's failure domain"`
-	JSON    bool   `long:"json" description:"print the answer as JSON"`
+	Service string `long:"service" required:"true" description:"service whose entry hosts to show"`
+	Domain  string `long:"domain" description:"failure domain of the caller"`
+	JSON    bool   `long:"json" description:"print the response as JSON"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -32,6 +32,7 @@
 		if err != nil {
 			return err
 		}
+		// Only the first note can be checked in full without the store, since it applies to an empty configuration.
 		if n.Follows == 0 {
 			if _, err := (note.Configuration{}).Fold(n); err != nil {
 				return err
@@ -42,6 +43,7 @@
 	return err
 }
 
+// readNote reads and parses a release note; errors are settings.ErrFile or those of note.Parse.
 func readNote(file string) (note.Note, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -12,11 +12,11 @@
 
 type experimentCommand struct {
 	*baseCommand
-	Load   string  `long:"load" description:"play only loads whose name begins so"`
-	Policy string  `long:"policy" description:"play only policies whose name begins so"`
-	Use    float64 `long:"use" description:"rate of requests, relative to what quiet servers carry; the load's own if left out"`
+	Load   string  `long:"load" description:"simulate only loads whose name starts with this"`
+	Policy string  `long:"policy" description:"simulate only policies whose name starts with this"`
+	Use    float64 `long:"use" description:"request rate as a multiple of the capacity of the servers that are not slowed down; by default that of the load"`
 	Seed   uint64  `long:"seed" default:"1" description:"seed of the first run"`
-	Runs   uint64  `long:"runs" default:"1" description:"runs with one seed after the other"`
+	Runs   uint64  `long:"runs" default:"1" description:"number of runs, with consecutive seeds"`
 }
 
 // Execute implements flags.Commander.
@@ -45,7 +45,7 @@
 		}
 	}
 	if simulated == 0 {
-		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy has such a name; leave --load and --policy out to see all"}
+		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy has a name that starts so; leave --load and --policy out to see all"}
 	}
 	return table.Flush()
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -15,11 +15,11 @@
 type explainCommand struct {
 	*baseCommand
 	hostsOptions
-	Target string        `long:"target" description:"only records that concern this target, and those that concern all"`
-	Since  time.Duration `long:"since" default:"1h" description:"how far back"`
-	Why    bool          `long:"why" description:"show when the target could get nothing, and why"`
-	From   string        `long:"from" description:"start of the stretch to explain, as 2006-01-02T15:04:05Z; instead of --since"`
-	To     string        `long:"to" description:"end of the stretch, as 2006-01-02T15:04:05Z; now when left out"`
+	Target string        `long:"target" description:"show only records that concern this target or all targets"`
+	Since  time.Duration `long:"since" default:"1h" description:"how far back to look"`
+	Why    bool          `long:"why" description:"show when the target was not eligible for requests, and why"`
+	From   string        `long:"from" description:"start of the period to explain, as 2006-01-02T15:04:05Z; replaces --since"`
+	To     string        `long:"to" description:"end of the period, as 2006-01-02T15:04:05Z; now if left out"`
 	JSON   bool          `long:"json" description:"print the records, or with --why the intervals, as JSON"`
 }
 
@@ -32,6 +32,7 @@
 	client, closeClient := operator.New(operator.Config{Hosts: c.Hosts, Timeout: c.Timeout})
 	defer closeClient()
 	if c.Why {
+		// The record of the target's state at the start of the period can be older than the period.
 		return c.printTimeline(client.Explain(context.Background(), c.Target, time.Time{}), period)
 	}
 	e := client.Explain(context.Background(), c.Target, period.From)
@@ -45,7 +46,7 @@
 	return c.reportMissing(e)
 }
 
-// timeRange returns the time that is asked about.
+// timeRange returns the period that --since, --from and --to select.
 func (c *explainCommand) timeRange(now time.Time) (record.Stretch, error) {
 	period := record.Stretch{From: now.Add(-c.Since), To: now}
 	if c.Why && c.Target == "" {
@@ -65,12 +66,13 @@
 		*option.at = at
 	}
 	if !period.From.Before(period.To) {
-		return period, &flags.Error{Type: flags.ErrMarshal, Message: "--from must lie before --to"}
+		return period, &flags.Error{Type: flags.ErrMarshal, Message: "--from must be before --to"}
 	}
 	return period, nil
 }
 
-// printTimeline prints when the target could get nothing, and how much of the time it could.
+// printTimeline prints the intervals in which the target was not eligible for requests and, for each host, the total time
+// for which it was.
 func (c *explainCommand) printTimeline(e operator.Explanation, period record.Stretch) error {
 	timeline := record.Timeline(e.Records, c.Target, period)
 	if c.JSON {
@@ -91,10 +93,10 @@
 	return c.reportMissing(e)
 }
 
-// reportMissing names the hosts that gave no records.
+// reportMissing prints the hosts that gave no records; it returns ErrFindings if there are any.
 func (c *explainCommand) reportMissing(e operator.Explanation) error {
-	for _, host := range e.Missing {
-		fmt.Fprintf(c.err, "no records from %s\n", host)
+	for _, missing := range e.Missing {
+		fmt.Fprintf(c.err, "no records from %s\n", missing)
 	}
 	if len(e.Missing) > 0 {
 		return ErrFindings.New("%d hosts gave no records", len(e.Missing))
@@ -102,10 +104,10 @@
 	return nil
 }
 
-// timeFormat is how times are shown.
+// timeFormat is the layout of printed times; the records' times are in UTC.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
-// formatRecord returns a record as one plain line.
+// formatRecord returns an event record as one line of text.
 func formatRecord(r record.Record) string {
 	text := fmt.Sprintf("%s %s note %d: %s", r.Time.Format(timeFormat), r.Host, r.Note, r.Kind)
 	if r.Service != "" {
@@ -123,6 +125,7 @@
 	return text + formatEvidence(r.Evidence)
 }
 
+// formatEvidence returns the evidence of a record as text to append to its line.
 func formatEvidence(e record.Evidence) string {
 	text := ""
 	if e.Failures > 0 {
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -17,8 +17,8 @@
 	Direct  string        `long:"direct" description:"address of a backend server to compare with"`
 	Path    string        `long:"path" default:"/measure" description:"path to request"`
 	Rates   []int         `long:"rate" default:"500" default:"1000" default:"2000" description:"requests a second; may be given several times"`
-	Length  time.Duration `long:"length" default:"5s" description:"how long to hold each rate, or to watch"`
-	Control bool          `long:"control" description:"send nothing and show what the hosts spend on control"`
+	Length  time.Duration `long:"length" default:"5s" description:"how long to send at each rate, or to observe with --control"`
+	Control bool          `long:"control" description:"send no requests and show the resources that the hosts use"`
 	JSON    bool          `long:"json" description:"print the figures as JSON"`
 }
 
@@ -47,6 +47,7 @@
 	return c.printSteps(steps)
 }
 
+// printSteps prints one row for each rate: latencies without and with the entry host, and their differences.
 func (c *measureCommand) printSteps(steps []measure.Step) error {
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "Rate\tDirect P50 us\tP99\tP99.9\tThrough P50 us\tP99\tP99.9\tAdded P50 us\tP99\tP99.9\tCore us/request\tAllocations/request\tFailed\t")
@@ -58,6 +59,7 @@
 	return table.Flush()
 }
 
+// showControl prints the processor time, traffic to peers and memory that each host uses; it sends no requests meanwhile.
 func (c *measureCommand) showControl() error {
 	controls, err := measure.RunControl(context.Background(), c.Hosts, c.Length)
 	if err != nil {
--- a/internal/command/native_test.go
+++ b/internal/command/native_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 )
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with a port that is free at the moment.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,8 @@
 	return l.Addr().String()
 }
 
-// TestVerifyAndExplainGateway asks a gateway on the users' platform what a monitor would.
+// TestVerifyAndExplainGateway runs verify and explain, as a monitor does, against a gateway, the entry host for the users'
+// platform.
 func TestVerifyAndExplainGateway(t *testing.T) {
 	is := is.New(t)
 	store := standin.New()
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -22,16 +22,16 @@
 	"github.com/matryer/is"
 )
 
-// waitTimeout bounds how long the test waits for something that must come; it decides nothing else.
+// waitTimeout bounds how long the test waits for an expected state; a longer one only delays a failure.
 const waitTimeout = 30 * time.Second
 
-// process is the real binary at work.
+// process is an entry host that runs the real binary as a child process, with a scanner of its log.
 type process struct {
 	*exec.Cmd
 	logLines *bufio.Scanner
 }
 
-// deployment is a store, two backend servers and three entry hosts as processes.
+// deployment is a process with test doubles of the store and of two backend servers, and processes of three entry hosts.
 type deployment struct {
 	is              *is.I
 	binary          string
@@ -41,11 +41,12 @@
 	listenAddresses []string
 }
 
+// newCommand returns a command that runs the binary with the arguments.
 func (d *deployment) newCommand(arguments ...string) *exec.Cmd {
 	return exec.Command(d.binary, arguments...)
 }
 
-// run runs a command to its end and returns its exit code and what it printed.
+// run runs the binary to its end and returns its exit code and its combined output.
 func (d *deployment) run(arguments ...string) (int, string) {
 	c := d.newCommand(arguments...)
 	var out bytes.Buffer
@@ -56,13 +57,15 @@
 	return c.ProcessState.ExitCode(), out.String()
 }
 
+// writeFile writes a file to the deployment's directory and returns its path.
 func (d *deployment) writeFile(name, text string) string {
 	path := filepath.Join(d.dir, name)
 	d.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// startPlatform starts the stand-ins and returns the backend servers' addresses.
+// startPlatform starts the standin command, which serves the store, the host list and two backend servers, and returns the
+// addresses of the backend servers.
 func (d *deployment) startPlatform(t *testing.T) []string {
 	c := d.newCommand("standin", "--listen", "127.0.0.1:0", "--backend", "127.0.0.1:0", "--backend", "127.0.0.1:0")
 	out, err := c.StdoutPipe()
@@ -82,7 +85,8 @@
 	return backends
 }
 
-// startHost starts an entry host and reads its addresses from its log.
+// startHost starts an entry host, whose addresses it reads from its log, and returns the host's address for peers. The seed
+// is the address for peers of a host that runs already, or empty.
 func (d *deployment) startHost(t *testing.T, number int, seed string) string {
 	text := fmt.Sprintf("[Host]\nName = entry-%d\nDomain = d%d\nListen = 127.0.0.1:0\nInner = 127.0.0.1:0\n[Platform]\nStore = %s\nHostList = %s/Hosts\n[Peers]\nSeeds = %s\n[Limits]\nAddressMaxAge = 1s\n",
 		number, number, d.store, d.store, seed)
@@ -98,18 +102,18 @@
 		if line.Message == "entry host started" {
 			go func() {
 				for host.logLines.Scan() {
-					// The log must be read, or the host would wait.
+					// Unread output would fill the pipe and block the host.
 				}
 			}()
 			d.hosts, d.listenAddresses = append(d.hosts, host), append(d.listenAddresses, line.Listen)
 			return line.Inner
 		}
 	}
-	t.Fatal("the entry host did not start")
+	t.Fatal("the entry host ended without logging that it had started")
 	return ""
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds; the test fails if it does not within waitTimeout.
 func (d *deployment) eventually(description string, condition func() bool) {
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if condition() {
@@ -117,16 +121,18 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	d.is.Equal(description, "") // did not come about
+	d.is.Equal(description, "") // the condition did not hold in time
 }
 
+// status returns what the status command shows for every entry host.
 func (d *deployment) status() []operator.HostStatus {
 	client, closeClient := operator.New(operator.Config{Hosts: d.listenAddresses, Timeout: 500 * time.Millisecond})
 	defer closeClient()
 	return client.Status(context.Background())
 }
 
-// converged reports whether the given number of hosts are ready, know as many peers and have a note in force.
+// converged reports whether the given number of hosts are ready, each see all others as peers, and have the note with the
+// given number in force.
 func (d *deployment) converged(hosts, number int) bool {
 	count := 0
 	for _, h := range d.status() {
@@ -137,7 +143,8 @@
 	return count == hosts
 }
 
-// TestProcesses runs the real binary: publish, status, verify, explain, a stop under load, a pause and bad input.
+// TestProcesses runs the real binary: the operator commands with valid and invalid input, an entry host that is paused, and
+// a graceful stop under load.
 func TestProcesses(t *testing.T) {
 	d := &deployment{is: is.New(t), dir: t.TempDir()}
 	d.binary = filepath.Join(d.dir, "briarcroft")
@@ -172,7 +179,8 @@
 	checkGracefulStop(d)
 }
 
-// checkExitCodes gives bad input to check and publish; nothing may change.
+// checkExitCodes runs commands with valid and invalid arguments and checks their exit codes and output; no note may come in
+// force by that.
 func checkExitCodes(d *deployment, validNote string) {
 	invalidNote := d.writeFile("bad.ini", "[Note]\nFollows = 0\nOperator = o\nReason = r\n[Service s]\nHome = 1\n")
 	cases := []struct {
@@ -200,7 +208,8 @@
 	d.is.Equal(d.status()[0].Note.Number, 0)
 }
 
-// checkOperatorCommands reads explanations and verifies the chain.
+// checkOperatorCommands runs verify, explain, addresses and report against the three hosts, and verify also against an
+// address where no host listens.
 func checkOperatorCommands(d *deployment) {
 	hosts := []string{"--host", d.listenAddresses[0], "--host", d.listenAddresses[1], "--host", d.listenAddresses[2]}
 	code, out := d.run(append([]string{"verify", "--store", d.store}, hosts...)...)
@@ -229,7 +238,8 @@
 	d.is.Equal(code, ExitFailed)
 }
 
-// checkPausedHost freezes a host: the others must take it out of their answers and take it back after it woke.
+// checkPausedHost pauses the process of a host with SIGSTOP: the other hosts must stop counting it as a peer, and must count
+// it again after SIGCONT. The paused host must record that it was paused.
 func checkPausedHost(d *deployment) {
 	paused := d.hosts[1]
 	d.is.NoErr(paused.Process.Signal(syscall.SIGSTOP))
@@ -243,13 +253,14 @@
 		return count == 2
 	})
 	d.is.NoErr(paused.Process.Signal(syscall.SIGCONT))
-	d.eventually("three hosts again", func() bool { return d.converged(3, 1) })
+	d.eventually("three hosts after the pause", func() bool { return d.converged(3, 1) })
 	code, out := d.run("explain", "--host", d.listenAddresses[1])
 	d.is.Equal(code, ExitSuccess)
 	d.is.True(strings.Contains(out, "HostPaused"))
 }
 
-// checkGracefulStop sends SIGTERM to a host under load: no request may be cut, and the exit code must be 0.
+// checkGracefulStop sends SIGTERM to the home of the service under load: no request may fail or be sent twice, and the exit
+// code must be 0.
 func checkGracefulStop(d *deployment) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var load sync.WaitGroup
@@ -282,8 +293,8 @@
 		}
 	}
 	d.is.NoErr(d.hosts[home].Process.Signal(syscall.SIGTERM))
-	d.is.NoErr(d.hosts[home].Wait()) // exit code 0
+	d.is.NoErr(d.hosts[home].Wait()) // Wait returns an error unless the exit code is 0
 	cancel()
 	load.Wait()
-	d.is.Equal(failures, 0) // requests cut or sent again
+	d.is.Equal(failures, 0) // requests that failed or were sent more than once
 }
--- a/internal/command/publish.go
+++ b/internal/command/publish.go
@@ -17,7 +17,7 @@
 	storeOptions
 	Note string `long:"note" required:"true" description:"release note in INI"`
 	JSON bool   `long:"json" description:"print the accepted record as JSON"`
-	// Hosts are waited for after the acceptance.
+	// Hosts are the entry hosts on which the command waits for the accepted note to be in force.
 	Hosts []string `long:"host" description:"wait until the note is in force on this entry host; may be given several times"`
 }
 
@@ -31,6 +31,7 @@
 	defer closeStore()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
+	// The nonce lets a repeated write recognise its own record in the store.
 	nonce := strconv.FormatUint(rand.Uint64(), 36)
 	record, err := note.NewArchive(note.ArchiveConfig{Store: store}).Publish(ctx, n, nonce, time.Now())
 	if err != nil {
@@ -47,10 +48,10 @@
 	return c.awaitInForce(ctx, record.Number)
 }
 
-// pollInterval is the time between two looks at the hosts.
+// pollInterval is the time between two queries of the hosts' status.
 const pollInterval = 50 * time.Millisecond
 
-// awaitInForce waits until the note, or a later one, is in force on every host; errors are ErrLate.
+// awaitInForce waits until the note, or a later one, is in force on every host; errors are ErrNotInForce.
 func (c *publishCommand) awaitInForce(ctx context.Context, number int) error {
 	client, closeClient := operator.New(operator.Config{Hosts: c.Hosts, Timeout: time.Second})
 	defer closeClient()
@@ -64,12 +65,12 @@
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return ErrNotInForce.New("note %d is accepted but not yet in force on %s; look again with status", number, strings.Join(pending, ", "))
+			return ErrNotInForce.New("note %d is accepted but not yet in force on %s; check again with the status command", number, strings.Join(pending, ", "))
 		}
 	}
 }
 
-// pendingHosts returns the addresses of hosts that are not ready or have an earlier note in force.
+// pendingHosts returns the addresses of the hosts that gave no status, are not ready, or have an earlier note in force.
 func pendingHosts(statuses []operator.HostStatus, number int) []string {
 	var pending []string
 	for _, s := range statuses {
--- a/internal/command/report.go
+++ b/internal/command/report.go
@@ -18,7 +18,7 @@
 	*baseCommand
 	hostsOptions
 	Store string        `long:"store" required:"true" description:"URL of the platform's key-value service"`
-	Since time.Duration `long:"since" default:"1h" description:"how far back"`
+	Since time.Duration `long:"since" default:"1h" description:"how far back to look"`
 	Out   string        `long:"out" required:"true" description:"file to write; it must not exist yet"`
 }
 
@@ -37,7 +37,7 @@
 	now := time.Now()
 	source := report.Source{
 		Made: now, Stretch: record.Stretch{From: now.Add(-c.Since), To: now}, Verification: verification, Hosts: hosts,
-		// A target's state at the start of the stretch is in an older record.
+		// The record of a target's state at the start of the period can be older than the period.
 		Explanation: client.Explain(ctx, "", time.Time{}),
 	}
 	if err := c.writeFile(source); err != nil {
@@ -45,15 +45,16 @@
 	}
 	_, err = fmt.Fprintf(c.out, "%s written\n", c.Out)
 	if err == nil && !verification.Agrees() {
-		return ErrFindings.New("the chain or a host differs; see the page")
+		return ErrFindings.New("the chain of notes is broken or a host differs; see the page")
 	}
 	return err
 }
 
+// writeFile writes the page to a new file; it fails if the file exists.
 func (c *reportCommand) writeFile(source report.Source) error {
 	file, err := os.OpenFile(c.Out, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
-		return errorx.Decorate(err, "--out: name a new file in a folder that can be written")
+		return errorx.Decorate(err, "--out: name a new file in a writable directory")
 	}
 	if err := report.Write(file, source); err != nil {
 		return errorx.DecorateMany("report", err, file.Close())
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -17,10 +17,12 @@
 	"github.com/rs/zerolog"
 )
 
-// entryHostGCPercent is how far the heap may grow between two collections; a host's live heap is a few megabytes.
+// entryHostGCPercent is the garbage collector's target percentage (GOGC) of an entry host on Etcd. Its live heap is only a
+// few megabytes, so letting it grow to five times that costs little memory and makes collections rare.
 const entryHostGCPercent = 400
 
-// gatewayGCPercent is the same for hosts whose memory is paid for.
+// gatewayGCPercent is the garbage collector's target percentage (GOGC) of a gateway. It is lower than that of other entry
+// hosts because gateways run on a platform that charges for the memory they use.
 const gatewayGCPercent = 40
 
 type serveCommand struct {
@@ -28,14 +30,16 @@
 	Config string `long:"config" required:"true" env:"BRIARCROFT_BOOT" description:"settings file in INI"`
 }
 
-// settingsCheckInterval is how often the settings file is read for changes that come without a signal.
+// settingsCheckInterval is the time between two checks of the settings file; SIGHUP causes a check at once.
 const settingsCheckInterval = 2 * time.Second
 
-// server is a host of either kind.
+// server is an entry host: an entry.Host, or a gateway.Gateway on the users' platform.
 type server interface {
+	// Serve runs the host until stop ends, then stops gracefully, or at once when force ends.
 	Serve(stop, force context.Context) error
+	// Reload applies changed settings, as far as they do not need a restart.
 	Reload(settings.Settings)
-	// Listen and Inner are the addresses for callers and for peers.
+	// Listen returns the address for callers, Inner that for peers, which are the other entry hosts.
 	Listen() string
 	Inner() string
 }
@@ -61,14 +65,16 @@
 	return err
 }
 
-// watchSettings hands changed settings to the host; the function that it returns ends that.
+// watchSettings passes changed settings to the host until the returned function is called.
 func (c *serveCommand) watchSettings(h server, logger zerolog.Logger) func() {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := settings.Follow(ctx, settings.FollowConfig{
 		File: c.Config, Every: settingsCheckInterval, Hup: hangups, OnChange: h.Reload,
-		OnRefused: func(err error) { logger.Error().Err(err).Msg("new settings refused; the old ones stay in force") },
+		OnRefused: func(err error) {
+			logger.Error().Err(err).Msg("changed settings rejected; the previous ones stay in force")
+		},
 	})
 	return func() {
 		signal.Stop(hangups)
@@ -77,7 +83,8 @@
 	}
 }
 
-// newServer returns the host that the settings ask for and the function that closes it.
+// newServer returns an entry host for the platform that the settings name, and the function that closes it. A gateway logs
+// to the output stream, an entry host on Etcd to the error stream.
 func (c *serveCommand) newServer(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
 	if s.Platform.Kind == "Native" {
 		h, closeHost := newGateway(s, logger.Output(c.out))
@@ -86,6 +93,7 @@
 	return newEntryHost(s, logger)
 }
 
+// newGateway returns an entry host for the users' platform (Kind = Native) and the function that closes it.
 func newGateway(s settings.Settings, logger zerolog.Logger) (server, func()) {
 	debug.SetGCPercent(gatewayGCPercent)
 	if s.Limits.MemoryBytes > 0 {
@@ -99,6 +107,7 @@
 	}
 }
 
+// newEntryHost returns an entry host that uses an etcd-like store (Kind = Etcd) and the function that closes it.
 func newEntryHost(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
 	debug.SetGCPercent(entryHostGCPercent)
 	store, closeStore := internalplatform.NewEtcd(internalplatform.EtcdConfig{URL: s.Platform.Store, Timeout: s.Platform.Timeout})
--- a/internal/command/signals_test.go
+++ b/internal/command/signals_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRepeatedSigtermCutsNothing sends SIGTERM again and again, as some supervisors do: only a second SIGINT ends a graceful stop.
+// TestRepeatedSigtermCutsNothing sends SIGTERM repeatedly, as some supervisors do: that must not cut off a graceful stop,
+// only a SIGINT may.
 func TestRepeatedSigtermCutsNothing(t *testing.T) {
 	is := is.New(t)
 	stop, force, release := shutdownContexts()
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -18,10 +18,10 @@
 	Listen   string        `long:"listen" default:"127.0.0.1:2379" description:"address of the key-value service and host list"`
 	Backends []string      `long:"backend" description:"address of a sample backend server; may be given several times"`
 	Slots    int           `long:"slots" default:"4" description:"slots of each sample backend server"`
-	Work     time.Duration `long:"work" default:"5ms" description:"mean time that a sample backend server takes"`
+	Work     time.Duration `long:"work" default:"5ms" description:"mean service time of a sample backend server"`
 }
 
-// sampleResponseBytes is the size of a sample answer.
+// sampleResponseBytes is the size of the response body of a sample backend server.
 const sampleResponseBytes = 256
 
 // Execute implements flags.Commander.
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -12,7 +12,7 @@
 type statusCommand struct {
 	*baseCommand
 	hostsOptions
-	JSON bool `long:"json" description:"print everything that the hosts tell, as JSON"`
+	JSON bool `long:"json" description:"print the full status of the hosts as JSON"`
 }
 
 // Execute implements flags.Commander.
@@ -29,6 +29,7 @@
 	return c.printLatencies(statuses)
 }
 
+// printHosts prints one row for each host, with the error instead if its status could not be read.
 func (c *statusCommand) printHosts(statuses []operator.HostStatus) error {
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "Address\tHost\tDomain\tReady\tLeaving\tNote\tHash\tIn force since\tPeers\tRequests")
@@ -43,6 +44,7 @@
 	return table.Flush()
 }
 
+// printLatencies prints one row for each host, service and class of requests.
 func (c *statusCommand) printLatencies(statuses []operator.HostStatus) error {
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "\nHost\tService\tClass\tCount\tP50 us\tP99 us\tP99.9 us\tMax us\t")
--- a/internal/command/verify.go
+++ b/internal/command/verify.go
@@ -32,12 +32,13 @@
 		err = c.printFindings(v)
 	}
 	if err == nil && !v.Agrees() {
-		return ErrFindings.New("the chain or a host differs")
+		return ErrFindings.New("the chain of notes is broken or a host differs")
 	}
 	return err
 }
 
-// verify compares the hosts with the store, whose kind decides what it holds.
+// verify compares the hosts with the store. A Native store holds only the newest configuration; an Etcd store holds the
+// chain of all release notes, which is verified too.
 func (c *verifyCommand) verify(ctx context.Context, hosts []operator.HostStatus) (operator.Verification, error) {
 	if c.Kind == "Native" {
 		store, closeStore := platform.NewStore(platform.StoreConfig{URL: c.Store, Timeout: c.Timeout})
@@ -53,6 +54,7 @@
 	return operator.Verify(ctx, store, hosts)
 }
 
+// printFindings prints the state of the chain and one line for each host.
 func (c *verifyCommand) printFindings(v operator.Verification) error {
 	if v.Chain != "" {
 		fmt.Fprintf(c.out, "chain: broken after note %d: %s\n", v.Number, v.Chain)
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -5,7 +5,7 @@
 	"runtime"
 )
 
-// Version is set by the build.
+// Version is the version of the program; a build can set it with -ldflags -X.
 var Version = "development"
 
 type versionCommand struct {
