--- a/cmd/briarcroft/main.go
+++ b/cmd/briarcroft/main.go
@@ -1,4 +1,5 @@
-// Command briarcroft is a load balancer whose entry hosts repair themselves and explain what they did.
+// Command briarcroft is a load balancer whose entry hosts recover from failures on their own and record what they
+// changed and why.
 package main
 
 import (
--- a/internal/certificate/files.go
+++ b/internal/certificate/files.go
@@ -1,5 +1,6 @@
-// Package certificate reads certificates, keys and authorities from files, and reads them again when they change,
-// so that keys can be replaced without a restart.
+// Package certificate loads TLS certificates, keys and certificate authorities from PEM files and reloads them when the
+// files change, so that keys can be replaced without a restart. It provides the TLS configuration for callers and the
+// mutual TLS configuration for peers, which are the other entry hosts.
 package certificate
 
 import (
@@ -14,36 +15,38 @@
 
 var namespace = errorx.NewNamespace("certificate").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrFile reports certificate files that cannot be used.
+// ErrFile reports a certificate, key or authority file that cannot be read or is invalid.
 var ErrFile = namespace.NewType("file")
 
-// ErrUntrustedPeer reports a peer whose certificate the authority did not sign.
+// ErrUntrustedPeer reports a peer that has no certificate or one that the authority did not sign.
 var ErrUntrustedPeer = namespace.NewType("stranger")
 
-// defaultCheckInterval is how often files are looked at.
+// defaultCheckInterval is the default of Config.CheckInterval.
 const defaultCheckInterval = 10 * time.Second
 
-// Config names the PEM files; Authority is empty where callers are not asked for a certificate.
+// Config names the PEM files. Authority verifies the certificates of peers; it is empty for the files of CallerTLS,
+// which does not request client certificates.
 type Config struct {
 	Certificate string
 	Key         string
 	Authority   string
-	// CheckInterval is the least time between two looks at the files; zero means the default.
+	// CheckInterval is the least time between two checks of the files for changes; zero means 10 s.
 	CheckInterval time.Duration
 }
 
-// Files holds the newest usable certificate and authority. It is safe for concurrent use.
+// Files holds the last valid certificate and authority that were loaded from the files. The files are checked for
+// changes during TLS handshakes. It is safe for concurrent use.
 type Files struct {
 	config    Config
 	mu        sync.Mutex
 	keyPair   *tls.Certificate
 	roots     *x509.CertPool
-	modTimes  []time.Time
+	modTimes  []time.Time // modification times of the files that keyPair and roots were loaded from
 	lastCheck time.Time
-	reloadErr error
+	reloadErr error // result of the last reload
 }
 
-// Load reads the files; errors are ErrFile.
+// Load loads the files; errors are ErrFile.
 func Load(c Config) (*Files, error) {
 	if c.CheckInterval == 0 {
 		c.CheckInterval = defaultCheckInterval
@@ -56,7 +59,7 @@
 	return f, nil
 }
 
-// load replaces what is held by what the files hold, or leaves it as it is.
+// load replaces the certificate and the authority by those in the files; on an error it leaves both as they are.
 func (f *Files) load() error {
 	keyPair, err := tls.LoadX509KeyPair(f.config.Certificate, f.config.Key)
 	if err != nil {
@@ -70,14 +73,14 @@
 		}
 		roots = x509.NewCertPool()
 		if !roots.AppendCertsFromPEM(text) {
-			return ErrFile.New("%s holds no PEM certificate; give the authority's", f.config.Authority)
+			return ErrFile.New("%s holds no PEM certificate; give the file of the authority's certificate", f.config.Authority)
 		}
 	}
 	f.keyPair, f.roots = &keyPair, roots
 	return nil
 }
 
-// statModTimes returns when each file was last changed; a file that is missing counts as never.
+// statModTimes returns the modification time of each file, which is zero for a missing file.
 func (f *Files) statModTimes() []time.Time {
 	var modTimes []time.Time
 	for _, name := range []string{f.config.Certificate, f.config.Key, f.config.Authority} {
@@ -90,7 +93,8 @@
 	return modTimes
 }
 
-// current returns what is in use, after another look at the files if the last one is long ago.
+// current returns the certificate and the authority to use. If the last check is at least CheckInterval ago, it first
+// checks the files for changes.
 func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,8 +105,9 @@
 	return f.keyPair, f.roots
 }
 
-// reloadIfChanged reads the files again if any has changed. Files that do not fit together, as in the middle of a replacement,
-// leave the old ones in use and are read again at the next look.
+// reloadIfChanged loads the files again if one of them has changed. If the new files are invalid or the key does not
+// belong to the certificate, as in the middle of a replacement, the old ones stay in use and the next check loads the
+// files again.
 func (f *Files) reloadIfChanged() {
 	modTimes := f.statModTimes()
 	unchanged := f.reloadErr == nil
@@ -117,20 +122,21 @@
 	}
 }
 
-// ReloadError returns why changed files are not in use, or nil.
+// ReloadError returns why the last reload of changed files failed, or nil if it succeeded.
 func (f *Files) ReloadError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reloadErr
 }
 
-// CallerTLS returns the TLS configuration towards callers.
+// CallerTLS returns the TLS configuration of the server for callers; it requests no client certificates.
 func (f *Files) CallerTLS() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.serverCertificate}
 }
 
-// PeerTLS returns the mutual TLS configuration of peers, for both sides of a connection.
-// Peers are known by the authority, not by name: hosts are replaced and addressed by IP number.
+// PeerTLS returns the mutual TLS configuration for connections between peers, for both client and server. It verifies
+// that the authority signed the other side's certificate, but not the name in it, since hosts are replaced and
+// addressed by IP address.
 func (f *Files) PeerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, GetCertificate: f.serverCertificate, GetClientCertificate: f.clientCertificate,
@@ -148,7 +154,8 @@
 	return keyPair, nil
 }
 
-// verifyPeer checks the other side's chain against the authority, without its name; errors are ErrStranger.
+// verifyPeer verifies that the authority signed the other side's certificate chain; it ignores the name in the
+// certificate. Errors are ErrUntrustedPeer.
 func (f *Files) verifyPeer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrUntrustedPeer.New("the peer sent no certificate; set its [TLS] keys")
@@ -160,7 +167,7 @@
 	_, roots := f.current()
 	options := x509.VerifyOptions{Roots: roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
 	if _, err := state.PeerCertificates[0].Verify(options); err != nil {
-		return ErrUntrustedPeer.New("the peer is a stranger (%v); sign its certificate with the authority", err)
+		return ErrUntrustedPeer.New("the peer's certificate is not trusted (%v); sign its certificate with the authority", err)
 	}
 	return nil
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,9 +1,9 @@
 // Package command implements the command line of the briarcroft program. Each command is a struct whose tagged fields
 // are its flags and whose Execute method runs it; Run parses the arguments and turns errors into exit codes.
 //
-// Three words of the project occur in all commands. An entry host is a process that takes requests from callers and sends
-// them to backend servers, which are also called targets. A release note, or note for short, is one revision of the
-// configuration. The store is the platform's key-value service, which holds the chain of accepted notes.
+// Three words of the project occur in all commands. An entry host is a process that takes requests from callers and
+// sends them to backend servers, which are also called targets. A release note, or note for short, is one revision of
+// the configuration. The store is the platform's key-value service, which holds the chain of accepted notes.
 package command
 
 import (
@@ -149,8 +149,8 @@
 	return zerolog.New(b.err).Level(parsedLevel).With().Timestamp().Logger()
 }
 
-// shutdownContexts returns a context that ends at the first SIGINT or SIGTERM, for a graceful stop, and one that ends at a
-// SIGINT after that, for a stop at once. The caller must call release, which stops the handling of signals.
+// shutdownContexts returns a context that ends at the first SIGINT or SIGTERM, for a graceful stop, and one that ends
+// at a SIGINT after that, for a stop at once. The caller must call release, which stops the handling of signals.
 func shutdownContexts() (stop, force context.Context, release func()) {
 	stop, releaseStop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	force, cancelForce := context.WithCancel(context.Background())
@@ -162,8 +162,8 @@
 		case <-force.Done():
 			return
 		}
-		// Some supervisors send SIGTERM repeatedly, which must not cut off running requests. A further SIGINT comes from a
-		// person at a terminal, who wants the process to end at once.
+		// Some supervisors send SIGTERM repeatedly, which must not cut off running requests. A further SIGINT comes
+		// from a person at a terminal, who wants the process to end at once.
 		interrupted, releaseInterrupted := signal.NotifyContext(force, syscall.SIGINT)
 		defer releaseInterrupted()
 		<-interrupted.Done()
@@ -182,8 +182,8 @@
 	Timeout time.Duration `long:"timeout" default:"10s" description:"time limit of the command"`
 }
 
-// openStore returns a client of the key-value service and the function that closes it. One request may take a fifth of the
-// command's time limit, so that there is time to repeat it.
+// openStore returns a client of the key-value service and the function that closes it. One request may take a fifth of
+// the command's time limit, so that there is time to repeat it.
 func (o storeOptions) openStore() (*platform.Etcd, func()) {
 	return platform.NewEtcd(platform.EtcdConfig{URL: o.Store, Timeout: o.Timeout / 5})
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -71,8 +71,8 @@
 	return period, nil
 }
 
-// printTimeline prints the intervals in which the target was not eligible for requests and, for each host, the total time
-// for which it was.
+// printTimeline prints the intervals in which the target was not eligible for requests and, for each host, the total
+// time for which it was.
 func (c *explainCommand) printTimeline(e operator.Explanation, period record.Stretch) error {
 	timeline := record.Timeline(e.Records, c.Target, period)
 	if c.JSON {
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -59,7 +59,8 @@
 	return table.Flush()
 }
 
-// showControl prints the processor time, traffic to peers and memory that each host uses; it sends no requests meanwhile.
+// showControl prints the processor time, traffic to peers and memory that each host uses; it sends no requests
+// meanwhile.
 func (c *measureCommand) showControl() error {
 	controls, err := measure.RunControl(context.Background(), c.Hosts, c.Length)
 	if err != nil {
--- a/internal/command/native_test.go
+++ b/internal/command/native_test.go
@@ -28,8 +28,8 @@
 	return l.Addr().String()
 }
 
-// TestVerifyAndExplainGateway runs verify and explain, as a monitor does, against a gateway, the entry host for the users'
-// platform.
+// TestVerifyAndExplainGateway runs verify and explain, as a monitor does, against a gateway, the entry host for the
+// users' platform.
 func TestVerifyAndExplainGateway(t *testing.T) {
 	is := is.New(t)
 	store := standin.New()
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -31,7 +31,8 @@
 	logLines *bufio.Scanner
 }
 
-// deployment is a process with test doubles of the store and of two backend servers, and processes of three entry hosts.
+// deployment is a process with test doubles of the store and of two backend servers, and processes of three entry
+// hosts.
 type deployment struct {
 	is              *is.I
 	binary          string
@@ -64,8 +65,8 @@
 	return path
 }
 
-// startPlatform starts the standin command, which serves the store, the host list and two backend servers, and returns the
-// addresses of the backend servers.
+// startPlatform starts the standin command, which serves the store, the host list and two backend servers, and returns
+// the addresses of the backend servers.
 func (d *deployment) startPlatform(t *testing.T) []string {
 	c := d.newCommand("standin", "--listen", "127.0.0.1:0", "--backend", "127.0.0.1:0", "--backend", "127.0.0.1:0")
 	out, err := c.StdoutPipe()
@@ -85,8 +86,8 @@
 	return backends
 }
 
-// startHost starts an entry host, whose addresses it reads from its log, and returns the host's address for peers. The seed
-// is the address for peers of a host that runs already, or empty.
+// startHost starts an entry host, whose addresses it reads from its log, and returns the host's address for peers. The
+// seed is the address for peers of a host that runs already, or empty.
 func (d *deployment) startHost(t *testing.T, number int, seed string) string {
 	text := fmt.Sprintf("[Host]\nName = entry-%d\nDomain = d%d\nListen = 127.0.0.1:0\nInner = 127.0.0.1:0\n[Platform]\nStore = %s\nHostList = %s/Hosts\n[Peers]\nSeeds = %s\n[Limits]\nAddressMaxAge = 1s\n",
 		number, number, d.store, d.store, seed)
@@ -131,8 +132,8 @@
 	return client.Status(context.Background())
 }
 
-// converged reports whether the given number of hosts are ready, each see all others as peers, and have the note with the
-// given number in force.
+// converged reports whether the given number of hosts are ready, each see all others as peers, and have the note with
+// the given number in force.
 func (d *deployment) converged(hosts, number int) bool {
 	count := 0
 	for _, h := range d.status() {
@@ -143,8 +144,8 @@
 	return count == hosts
 }
 
-// TestProcesses runs the real binary: the operator commands with valid and invalid input, an entry host that is paused, and
-// a graceful stop under load.
+// TestProcesses runs the real binary: the operator commands with valid and invalid input, an entry host that is paused,
+// and a graceful stop under load.
 func TestProcesses(t *testing.T) {
 	d := &deployment{is: is.New(t), dir: t.TempDir()}
 	d.binary = filepath.Join(d.dir, "briarcroft")
@@ -179,8 +180,8 @@
 	checkGracefulStop(d)
 }
 
-// checkExitCodes runs commands with valid and invalid arguments and checks their exit codes and output; no note may come in
-// force by that.
+// checkExitCodes runs commands with valid and invalid arguments and checks their exit codes and output; no note may
+// come in force by that.
 func checkExitCodes(d *deployment, validNote string) {
 	invalidNote := d.writeFile("bad.ini", "[Note]\nFollows = 0\nOperator = o\nReason = r\n[Service s]\nHome = 1\n")
 	cases := []struct {
@@ -238,8 +239,8 @@
 	d.is.Equal(code, ExitFailed)
 }
 
-// checkPausedHost pauses the process of a host with SIGSTOP: the other hosts must stop counting it as a peer, and must count
-// it again after SIGCONT. The paused host must record that it was paused.
+// checkPausedHost pauses the process of a host with SIGSTOP: the other hosts must stop counting it as a peer, and must
+// count it again after SIGCONT. The paused host must record that it was paused.
 func checkPausedHost(d *deployment) {
 	paused := d.hosts[1]
 	d.is.NoErr(paused.Process.Signal(syscall.SIGSTOP))
@@ -259,8 +260,8 @@
 	d.is.True(strings.Contains(out, "HostPaused"))
 }
 
-// checkGracefulStop sends SIGTERM to the home of the service under load: no request may fail or be sent twice, and the exit
-// code must be 0.
+// checkGracefulStop sends SIGTERM to the home of the service under load: no request may fail or be sent twice, and the
+// exit code must be 0.
 func checkGracefulStop(d *deployment) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var load sync.WaitGroup
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -17,12 +17,12 @@
 	"github.com/rs/zerolog"
 )
 
-// entryHostGCPercent is the garbage collector's target percentage (GOGC) of an entry host on Etcd. Its live heap is only a
-// few megabytes, so letting it grow to five times that costs little memory and makes collections rare.
+// entryHostGCPercent is the garbage collector's target percentage (GOGC) of an entry host on Etcd. Its live heap is
+// only a few megabytes, so letting it grow to five times that costs little memory and makes collections rare.
 const entryHostGCPercent = 400
 
-// gatewayGCPercent is the garbage collector's target percentage (GOGC) of a gateway. It is lower than that of other entry
-// hosts because gateways run on a platform that charges for the memory they use.
+// gatewayGCPercent is the garbage collector's target percentage (GOGC) of a gateway. It is lower than that of other
+// entry hosts because gateways run on a platform that charges for the memory they use.
 const gatewayGCPercent = 40
 
 type serveCommand struct {
@@ -83,8 +83,8 @@
 	}
 }
 
-// newServer returns an entry host for the platform that the settings name, and the function that closes it. A gateway logs
-// to the output stream, an entry host on Etcd to the error stream.
+// newServer returns an entry host for the platform that the settings name, and the function that closes it. A gateway
+// logs to the output stream, an entry host on Etcd to the error stream.
 func (c *serveCommand) newServer(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
 	if s.Platform.Kind == "Native" {
 		h, closeHost := newGateway(s, logger.Output(c.out))
--- a/internal/command/signals_test.go
+++ b/internal/command/signals_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRepeatedSigtermCutsNothing sends SIGTERM repeatedly, as some supervisors do: that must not cut off a graceful stop,
-// only a SIGINT may.
+// TestRepeatedSigtermCutsNothing sends SIGTERM repeatedly, as some supervisors do: that must not cut off a graceful
+// stop, only a SIGINT may.
 func TestRepeatedSigtermCutsNothing(t *testing.T) {
 	is := is.New(t)
 	stop, force, release := shutdownContexts()
--- a/internal/fakenet/network.go
+++ b/internal/fakenet/network.go
@@ -1,4 +1,6 @@
-// Package fakenet is an in-memory network for tests in virtual time; its connections can go silent and its nodes can be parted.
+// Package fakenet is an in-memory network for tests in virtual time. Its nodes, which tests identify by name, can crash
+// or be partitioned from each other, and its connections can drop bytes without an error, as a black hole in a real
+// network does.
 package fakenet
 
 import (
@@ -10,13 +12,13 @@
 	"time"
 )
 
-// Network holds the listeners and connections of all nodes.
+// Network holds the listeners and connections of all nodes. It is safe for concurrent use.
 type Network struct {
 	mu          sync.Mutex
 	listeners   map[string]*pipeListener
-	partitioned map[[2]string]bool
-	conns       map[*pipeConn]bool
-	addresses   int
+	partitioned map[[2]string]bool // by sending and receiving node
+	conns       map[*pipeConn]bool // ends of connections that are not closed yet
+	addresses   int                // number of addresses that were assigned
 }
 
 var errRefused = errors.New("connection refused")
@@ -26,6 +28,7 @@
 	return &Network{listeners: map[string]*pipeListener{}, partitioned: map[[2]string]bool{}, conns: map[*pipeConn]bool{}}
 }
 
+// pipeListener is a listener of a node; its connections are pairs of pipeConn.
 type pipeListener struct {
 	network *Network
 	node    string
@@ -35,6 +38,7 @@
 	closed  chan struct{}
 }
 
+// pipeAddress is an address of the form IP:PORT.
 type pipeAddress string
 
 // Network implements net.Addr.
@@ -67,7 +71,7 @@
 // Addr implements net.Listener.
 func (l *pipeListener) Addr() net.Addr { return l.address }
 
-// Listen opens a listener of a node at an address; an empty address means a new one.
+// Listen opens a listener of a node at an address; if the address is empty, it assigns an unused one.
 func (n *Network) Listen(node, address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -80,7 +84,8 @@
 	return l
 }
 
-// pipeConn is one end of a connection; what a silent end writes is lost.
+// pipeConn is one end of a connection, held by the node from; the other end is held by the node to. Once it is
+// blackholed, its writes succeed but the bytes are dropped.
 type pipeConn struct {
 	net.Conn
 	network    *Network
@@ -88,7 +93,7 @@
 	blackholed bool
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. A write during a partition blackholes this end for good.
 func (c *pipeConn) Write(p []byte) (int, error) {
 	c.network.mu.Lock()
 	dropped := c.blackholed || c.network.partitioned[[2]string{c.from, c.to}]
@@ -107,16 +112,18 @@
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
 	if blackholed {
-		// The other end never learns of it; it is closed when the test ends.
+		// The other end must not notice the close, since that would be dropped too; CloseAll closes it. The deadline
+		// ends pending reads and writes of this end.
 		return c.Conn.SetDeadline(time.Now())
 	}
 	return c.Conn.Close()
 }
 
-// RemoteAddr implements net.Conn.
+// RemoteAddr implements net.Conn; it is the same for all connections.
 func (c *pipeConn) RemoteAddr() net.Addr { return pipeAddress("10.9.9.9:9") }
 
-// Dialer returns the dial function of a node.
+// Dialer returns the dial function of a node. Dialing an address without a listener fails at once; dialing a node that
+// is partitioned from this one fails when the context ends.
 func (n *Network) Dialer(node string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -147,10 +154,10 @@
 	}
 }
 
-// Partition cuts two nodes off from each other.
+// Partition drops all traffic between two nodes, in both directions, until Heal.
 func (n *Network) Partition(a, b string) { n.setPartitioned(a, b, true) }
 
-// Heal joins two nodes again.
+// Heal ends the partition of two nodes. Connections that were written to during the partition stay blackholed.
 func (n *Network) Heal(a, b string) { n.setPartitioned(a, b, false) }
 
 func (n *Network) setPartitioned(a, b string, partitioned bool) {
@@ -159,7 +166,8 @@
 	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = partitioned, partitioned
 }
 
-// Blackhole makes every open connection between two nodes silent for good; new ones work.
+// Blackhole drops from now on all bytes that are written to the open connections between two nodes, in both directions,
+// and returns the number of their ends. New connections work.
 func (n *Network) Blackhole(a, b string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,7 +181,8 @@
 	return count
 }
 
-// BlackholeOneWay makes what one node sends another on open connections get lost for good; new ones work.
+// BlackholeOneWay drops from now on all bytes that one node writes to its open connections with another. The opposite
+// direction and new connections work.
 func (n *Network) BlackholeOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -184,7 +193,7 @@
 	}
 }
 
-// Crash closes every connection and listener of a node at once.
+// Crash closes every connection and listener of a node at once; the other ends of the connections notice it.
 func (n *Network) Crash(node string) {
 	n.mu.Lock()
 	var conns []*pipeConn
@@ -208,7 +217,7 @@
 	}
 }
 
-// CloseAll ends what is left, so that no goroutine waits for ever.
+// CloseAll closes all connections, so that no goroutine of a test blocks for ever on one.
 func (n *Network) CloseAll() {
 	n.mu.Lock()
 	conns := make([]*pipeConn, 0, len(n.conns))
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,4 +1,5 @@
-// Package fixedseed gives property tests the same cases in every run, unless -rapid.seed asks for others.
+// Package fixedseed makes property tests of package rapid generate the same cases in every run, by a fixed random seed,
+// unless the flag -rapid.seed sets another one.
 package fixedseed
 
 import (
@@ -6,7 +7,7 @@
 	"testing"
 )
 
-// Main runs a package's tests and returns its exit code; call it from TestMain.
+// Main runs the tests of a package with the fixed seed and returns the exit code; TestMain calls it.
 func Main(m *testing.M) int {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,6 @@
-// Package operator asks entry hosts what they do, for operators and for the monitor.
+// Package operator queries the status and the event records of entry hosts and checks which release note each has in
+// force, for the commands of operators and of a monitor. A release note, or note for short, is one revision of the
+// configuration; the store holds the chain of all accepted notes, linked by hashes.
 package operator
 
 import (
@@ -24,16 +26,18 @@
 
 var namespace = errorx.NewNamespace("operator").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrHostRequest reports a host that did not answer.
+// ErrHostRequest reports a request to an entry host that got no usable response.
 var ErrHostRequest = namespace.NewType("host")
 
 // Config sets up a Client.
 type Config struct {
-	Hosts   []string
+	// Hosts are addresses of entry hosts, as IP:PORT or as URL.
+	Hosts []string
+	// Timeout limits each request.
 	Timeout time.Duration
 }
 
-// Client asks a list of entry hosts.
+// Client sends requests to a list of entry hosts.
 type Client struct {
 	config     Config
 	httpClient *http.Client
@@ -45,7 +49,7 @@
 	return &Client{c, &http.Client{Transport: transport, Timeout: c.Timeout}}, transport.CloseIdleConnections
 }
 
-// HostStatus is one host's answer; Error says why there is none.
+// HostStatus is the status of one host, from its endpoints /Note and /Status. Error says why it could not be read.
 type HostStatus struct {
 	Address string
 	Error   string `json:",omitempty"`
@@ -53,7 +57,7 @@
 	Status  entry.Status
 }
 
-// Status asks every host, at the same time.
+// Status returns the status of every host, in the order of Config.Hosts; it queries them concurrently.
 func (c *Client) Status(ctx context.Context) []HostStatus {
 	statuses := make([]HostStatus, len(c.config.Hosts))
 	c.forEachHost(func(i int, host string) {
@@ -69,13 +73,16 @@
 	return statuses
 }
 
-// Explanation holds the records of all hosts, and the hosts that gave none.
+// Explanation holds event records, which say what changed in the routing of requests, when and why.
 type Explanation struct {
+	// Records are the records of all hosts, oldest first.
 	Records []record.Record
+	// Missing lists the hosts whose records could not be read, each as "host: error".
 	Missing []string
 }
 
-// Explain asks every host for the records that concern a target since a time.
+// Explain returns the records of every host, from the given time on, that concern a target or all targets. An empty
+// target selects all records.
 func (c *Client) Explain(ctx context.Context, target string, since time.Time) Explanation {
 	var mu sync.Mutex
 	var e Explanation
@@ -96,7 +103,8 @@
 	return e
 }
 
-// Addresses asks the first host that answers for a service's addresses; errors are ErrHost.
+// Addresses returns the response of the first host that answers GET /Addresses for a service and a caller's failure
+// domain. Errors are ErrHostRequest.
 func (c *Client) Addresses(ctx context.Context, service, domain string) (address.Response, error) {
 	var response address.Response
 	var err error
@@ -109,30 +117,36 @@
 	return response, err
 }
 
-// Finding is what the monitor's check found on one host.
+// Finding is the result of a verification for one host.
 type Finding struct {
+	// Address is the address that was queried, and Host the name of the host there.
 	Address string
 	Host    string
-	Number  int
-	Agrees  bool
-	Detail  string
+	// Number is the number of the note that the host has in force; 0 means none.
+	Number int
+	// Agrees is set if the host has the newest note and its configuration in force; otherwise Detail says what differs.
+	Agrees bool
+	Detail string
 }
 
-// Verification is the monitor's check of the chain and of every host.
+// Verification is the result of comparing the notes in the store with the hosts.
 type Verification struct {
-	Number   int
-	Hash     string
+	// Number is the number of the newest note. If the chain is broken, it is that of the last note before the break.
+	Number int
+	// Hash is the hash of that note's record; from VerifyConfiguration it is the hash of the configuration.
+	Hash string
+	// Chain says where and how the chain of notes is broken; it is empty if the chain is intact.
 	Chain    string
 	Findings []Finding
 }
 
-// Agrees reports whether the chain is whole and every host has its head in force.
+// Agrees reports whether the chain is intact and every host has its newest note in force.
 func (v Verification) Agrees() bool {
 	return v.Chain == "" && !slices.ContainsFunc(v.Findings, func(f Finding) bool { return !f.Agrees })
 }
 
-// Verify walks the chain in the store from the first note and compares every host's answer with its head.
-// Errors are platform.ErrUnavailable.
+// Verify verifies the chain of notes in the store from the first note on and compares the status of every host with its
+// head, the newest note. Errors are platform.ErrUnavailable; a broken chain is not an error but part of the result.
 func Verify(ctx context.Context, store platform.Store, hosts []HostStatus) (Verification, error) {
 	head, hashes, err := note.NewArchive(note.ArchiveConfig{Store: store}).Walk(ctx)
 	if errorx.IsOfType(err, platform.ErrUnavailable) {
@@ -148,18 +162,19 @@
 	return v, nil
 }
 
-// VerifyConfiguration compares every host's answer with the configuration that the users' platform holds as the newest.
+// VerifyConfiguration compares the status of every host with the newest configuration in the store. It is for the
+// users' platform, whose store keeps no chain of notes.
 func VerifyConfiguration(newest note.Configuration, hosts []HostStatus) Verification {
 	v := Verification{Number: newest.Number, Hash: newest.Hash()}
 	for _, s := range hosts {
 		f := Finding{Address: s.Address, Host: s.Note.Host, Number: s.Note.Number}
 		switch {
 		case s.Error != "":
-			f.Detail = "did not answer: " + s.Error
+			f.Detail = "status could not be read: " + s.Error
 		case s.Note.Number != newest.Number:
 			f.Detail = fmt.Sprintf("has note %d in force; the newest is %d", s.Note.Number, newest.Number)
 		case s.Note.Configuration != v.Hash:
-			f.Detail = "has another configuration of that number in force"
+			f.Detail = "has a configuration with that number in force that differs from the one in the store"
 		default:
 			f.Agrees = true
 		}
@@ -168,27 +183,29 @@
 	return v
 }
 
-// compareHost checks one host's note against the chain.
+// compareHost compares the note that a host has in force with the chain: head is the newest record, and hashes holds
+// the hash of each record by its number.
 func compareHost(s HostStatus, head note.Record, hashes map[int]string) Finding {
 	f := Finding{Address: s.Address, Host: s.Note.Host, Number: s.Note.Number}
 	hash, inChain := hashes[s.Note.Number]
 	switch {
 	case s.Error != "":
-		f.Detail = "did not answer: " + s.Error
+		f.Detail = "status could not be read: " + s.Error
 	case !inChain && s.Note.Number != 0:
 		f.Detail = fmt.Sprintf("has note %d in force, which the chain does not hold", s.Note.Number)
 	case hash != s.Note.Hash && s.Note.Number != 0:
-		f.Detail = fmt.Sprintf("has another note %d in force than the chain", s.Note.Number)
+		f.Detail = fmt.Sprintf("has a note %d in force that differs from the one in the chain", s.Note.Number)
 	case s.Note.Number != head.Number:
 		f.Detail = fmt.Sprintf("has note %d in force; the newest is %d", s.Note.Number, head.Number)
 	case s.Note.Configuration != head.Configuration:
-		f.Detail = "folded the notes to another configuration"
+		f.Detail = "applied the notes of the chain, but its configuration differs from the one that the chain leads to"
 	default:
 		f.Agrees = true
 	}
 	return f
 }
 
+// forEachHost calls a function for every host, concurrently, and waits until all calls have returned.
 func (c *Client) forEachHost(fn func(i int, host string)) {
 	var group sync.WaitGroup
 	for i, host := range c.config.Hosts {
@@ -197,6 +214,8 @@
 	group.Wait()
 }
 
+// getJSON sends a GET request to a host and decodes the JSON body of the response into value; errors are
+// ErrHostRequest.
 func (c *Client) getJSON(ctx context.Context, host, path string, value any) error {
 	if !strings.Contains(host, "://") {
 		host = "http://" + host
@@ -212,10 +231,10 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
-		return ErrHostRequest.New("answered %s %s", response.Status, strings.TrimSpace(string(text)))
+		return ErrHostRequest.New("the host responded with %s %s", response.Status, strings.TrimSpace(string(text)))
 	}
 	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
-		return ErrHostRequest.New("answer cannot be read: %v", err)
+		return ErrHostRequest.New("cannot decode the response of the host: %v", err)
 	}
 	return nil
 }
--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -1,4 +1,4 @@
-// Package page writes a host's own pages.
+// Package page writes the JSON responses of the endpoints that an entry host serves itself, such as its status.
 package page
 
 import (
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// WriteJSON answers with a value as JSON.
+// WriteJSON writes a response with the status code and the value as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -15,6 +15,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller went away if this fails.
+	// This fails only if the client has closed the connection, so there is nobody to report the error to.
 	_, _ = w.Write(append(text, '\n'))
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,5 @@
-// Package socket opens TCP connections that notice by themselves when the other side has gone silent.
+// Package socket opens TCP connections that fail when the other side stops acknowledging, and detects connections that
+// the other side has closed while they were idle.
 package socket
 
 import (
@@ -10,21 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config sets the times of a dialer.
+// Config holds the time limits of connections.
 type Config struct {
-	// Timeout bounds the opening of a connection.
+	// Timeout limits how long opening a connection may take.
 	Timeout time.Duration
-	// UnackedTimeout is how long sent bytes or keep-alive probes may go unacknowledged before the connection is given up.
+	// UnackedTimeout is how long sent bytes or keep-alive probes may stay unacknowledged before the connection is
+	// closed.
 	UnackedTimeout time.Duration
 }
 
-// keepAliveProbes is how many unanswered keep-alive probes end a connection.
+// keepAliveProbes is the number of unacknowledged keep-alive probes after which a connection is closed.
 const keepAliveProbes = 3
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewDialFunc returns a function that opens connections with the given times.
+// NewDialFunc returns a function that opens connections with the given time limits. Keep-alive probes are at least
+// a second apart, and otherwise timed so that an idle connection to a dead host is closed after UnackedTimeout.
 func NewDialFunc(c Config) DialFunc {
 	interval := max(time.Second, c.UnackedTimeout/(keepAliveProbes+1))
 	dialer := net.Dialer{
@@ -37,7 +40,8 @@
 	return dialer.DialContext
 }
 
-// setUserTimeout bounds how long the kernel waits for an acknowledgement of sent bytes.
+// setUserTimeout sets TCP_USER_TIMEOUT, which limits how long the kernel waits for an acknowledgement of sent bytes
+// before it closes the connection.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var optionErr error
 	err := raw.Control(func(fd uintptr) {
@@ -49,7 +53,8 @@
 	return optionErr
 }
 
-// Stale reports whether an idle connection has ended, or holds bytes that nobody asked for. It never blocks.
+// Stale reports whether an idle connection cannot be reused, because the other side has closed it, or has sent bytes
+// although no request is outstanding. It never blocks.
 func Stale(c net.Conn) bool {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
