--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if simulated == 0 {
-		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy has a name that starts so; leave --load and --policy out to see all"}
+		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy name starts with the given text; leave --load and --policy out to see all"}
 	}
 	return table.Flush()
 }
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -180,8 +180,8 @@
 	checkGracefulStop(d)
 }
 
-// checkExitCodes runs commands with valid and invalid arguments and checks their exit codes and output; no note may
-// come in force by that.
+// checkExitCodes runs commands with valid and invalid arguments and checks their exit codes and output; afterwards
+// no note may be in force.
 func checkExitCodes(d *deployment, validNote string) {
 	invalidNote := d.writeFile("bad.ini", "[Note]\nFollows = 0\nOperator = o\nReason = r\n[Service s]\nHome = 1\n")
 	cases := []struct {
--- a/internal/command/publish.go
+++ b/internal/command/publish.go
@@ -31,7 +31,7 @@
 	defer closeStore()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	// The nonce lets a repeated write recognise its own record in the store.
+	// If the write of the record is repeated, the nonce shows whether the stored record is this one.
 	nonce := strconv.FormatUint(rand.Uint64(), 36)
 	record, err := note.NewArchive(note.ArchiveConfig{Store: store}).Publish(ctx, n, nonce, time.Now())
 	if err != nil {
--- a/internal/fakenet/network.go
+++ b/internal/fakenet/network.go
@@ -14,11 +14,11 @@
 
 // Network holds the listeners and connections of all nodes. It is safe for concurrent use.
 type Network struct {
-	mu          sync.Mutex
-	listeners   map[string]*pipeListener
-	partitioned map[[2]string]bool // by sending and receiving node
-	conns       map[*pipeConn]bool // ends of connections that are not closed yet
-	addresses   int                // number of addresses that were assigned
+	mu           sync.Mutex
+	listeners    map[string]*pipeListener
+	partitioned  map[[2]string]bool // by sending and receiving node
+	conns        map[*pipeConn]bool // ends of connections that are not closed yet
+	addressCount int                // number of addresses that were assigned
 }
 
 var errRefused = errors.New("connection refused")
@@ -38,7 +38,7 @@
 	closed  chan struct{}
 }
 
-// pipeAddress is an address of the form IP:PORT.
+// pipeAddress is the network address of a listener or of one end of a connection.
 type pipeAddress string
 
 // Network implements net.Addr.
@@ -76,8 +76,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if address == "" {
-		n.addresses++
-		address = fmt.Sprintf("10.0.%d.%d:80", n.addresses/250, n.addresses%250+1)
+		n.addressCount++
+		address = fmt.Sprintf("10.0.%d.%d:80", n.addressCount/250, n.addressCount%250+1)
 	}
 	l := &pipeListener{network: n, node: node, address: pipeAddress(address), accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
