--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -72,9 +72,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := settings.Follow(ctx, settings.FollowConfig{
 		File: c.Config, Every: settingsCheckInterval, Hup: hangups, OnChange: h.Reload,
-		OnRefused: func(err error) {
-			logger.Error().Err(err).Msg("changed settings rejected; the previous ones stay in force")
-		},
+		OnRefused: func(err error) { logger.Error().Err(err).Msg("new settings refused; the old ones stay in force") },
 	})
 	return func() {
 		signal.Stop(hangups)
