--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -87,7 +87,7 @@
 		c.RecentUseWindow = defaultRecentUseWindow
 	}
 	if c.Dial == nil {
-		c.Dial = socket.Dialer(socket.Config{Timeout: c.DialTimeout, Silence: c.UnackedTimeout})
+		c.Dial = socket.NewDialFunc(socket.Config{Timeout: c.DialTimeout, UnackedTimeout: c.UnackedTimeout})
 	}
 	p := &Pool{config: c}
 	return p, p.close
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -70,7 +70,7 @@
 
 // cachedAnswer is an address answer with the time at which it expires.
 type cachedAnswer struct {
-	address.Answer
+	address.Response
 	expiresAt time.Time
 }
 
@@ -106,15 +106,15 @@
 
 // Addresses returns the entry hosts for a service, from the cache until they expire. If no entry host responds, it
 // returns the expired ones. Errors are ErrNoAddress.
-func (c *Client) Addresses(ctx context.Context, service string) (address.Answer, error) {
+func (c *Client) Addresses(ctx context.Context, service string) (address.Response, error) {
 	c.mu.Lock()
 	cached, found := c.answersByService[service]
 	c.mu.Unlock()
 	if found && time.Now().Before(cached.expiresAt) {
-		return cached.Answer, nil
+		return cached.Response, nil
 	}
 	var lastErr error
-	for _, host := range c.hostsToAsk(cached.Answer) {
+	for _, host := range c.hostsToAsk(cached.Response) {
 		answer, err := c.FetchAddresses(ctx, host, service)
 		if err != nil {
 			lastErr = err
@@ -126,13 +126,13 @@
 		return answer, nil
 	}
 	if found {
-		return cached.Answer, nil
+		return cached.Response, nil
 	}
-	return address.Answer{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
+	return address.Response{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
 // hostsToAsk returns the hosts of the last answer, followed by the seeds, beginning with a random one.
-func (c *Client) hostsToAsk(last address.Answer) []string {
+func (c *Client) hostsToAsk(last address.Response) []string {
 	var list []string
 	for _, a := range last.Addresses {
 		list = append(list, a.Address)
@@ -144,8 +144,8 @@
 }
 
 // FetchAddresses requests the entry hosts for a service from one entry host, past the cache. Errors are ErrNoAddress.
-func (c *Client) FetchAddresses(ctx context.Context, host, service string) (address.Answer, error) {
-	var answer address.Answer
+func (c *Client) FetchAddresses(ctx context.Context, host, service string) (address.Response, error) {
+	var answer address.Response
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	query := url.Values{"Service": {service}, "Domain": {c.config.Domain}}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -11,7 +11,7 @@
 )
 
 type checkCommand struct {
-	*root
+	*baseCommand
 	Config string `long:"config" description:"settings file in INI"`
 	Note   string `long:"note" description:"release note in INI"`
 }
@@ -32,6 +32,7 @@
 		if err != nil {
 			return err
 		}
+		// Only the first note can be checked in full without the store, since it applies to an empty configuration.
 		if n.Follows == 0 {
 			if _, err := (note.Configuration{}).Apply(n); err != nil {
 				return err
@@ -42,6 +43,7 @@
 	return err
 }
 
+// readNote reads and parses a release note; errors are settings.ErrFile or those of note.Parse.
 func readNote(file string) (note.Note, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -11,19 +11,19 @@
 )
 
 type experimentCommand struct {
-	*root
-	Load   string  `long:"load" description:"play only loads whose name begins so"`
-	Policy string  `long:"policy" description:"play only policies whose name begins so"`
-	Use    float64 `long:"use" description:"rate of requests, relative to what quiet servers carry; the load's own if left out"`
+	*baseCommand
+	Load   string  `long:"load" description:"simulate only loads whose name starts with this"`
+	Policy string  `long:"policy" description:"simulate only policies whose name starts with this"`
+	Use    float64 `long:"use" description:"request rate as a multiple of the capacity of the servers that are not slowed down; by default that of the load"`
 	Seed   uint64  `long:"seed" default:"1" description:"seed of the first run"`
-	Runs   uint64  `long:"runs" default:"1" description:"runs with one seed after the other"`
+	Runs   uint64  `long:"runs" default:"1" description:"number of runs, with consecutive seeds"`
 }
 
 // Execute implements flags.Commander.
 func (c *experimentCommand) Execute([]string) error {
 	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Load\tPolicy\tSeed\tAsked\tInGoal\tLate\tRefused\tLost\tWorth\tP50\tP99\tProbes/s\tRepeats")
-	played := 0
+	simulated := 0
 	for _, load := range model.Workloads() {
 		if !strings.HasPrefix(load.Name, c.Load) {
 			continue
@@ -37,15 +37,15 @@
 			}
 			for seed := c.Seed; seed < c.Seed+c.Runs; seed++ {
 				load.Seed = seed
-				r := model.Simulate(policy, load)
-				played++
+				result := model.Simulate(policy, load)
+				simulated++
 				fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\t%.1f\t%.3f\n",
-					r.Workload, r.Policy, seed, r.Requests, r.InGoal, r.Late, r.Refused, r.Lost, r.Utility, r.P50, r.P99, r.Probes, r.ExtraAttempts)
+					result.Workload, result.Policy, seed, result.Requests, result.InGoal, result.Late, result.Refused, result.Lost, result.Utility, result.P50, result.P99, result.Probes, result.ExtraAttempts)
 			}
 		}
 	}
-	if played == 0 {
-		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy has such a name; leave --load and --policy out to see all"}
+	if simulated == 0 {
+		return &flags.Error{Type: flags.ErrInvalidChoice, Message: "no load or policy name starts with the given text; leave --load and --policy out to see all"}
 	}
 	return table.Flush()
 }
--- a/internal/command/native_test.go
+++ b/internal/command/native_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 )
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with a port that is free at the moment.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,8 @@
 	return l.Addr().String()
 }
 
-// TestVerifyAndExplainGateway asks a gateway on the users' platform what a monitor would.
+// TestVerifyAndExplainGateway runs verify and explain, as a monitor does, against a gateway, the entry host for the
+// users' platform.
 func TestVerifyAndExplainGateway(t *testing.T) {
 	is := is.New(t)
 	store := standin.New()
@@ -37,15 +38,15 @@
 	server := httptest.NewServer(store.HandlerFor("h"))
 	defer server.Close()
 	metrics := freeAddress(t)
-	text := fmt.Sprintf("[Host]\nName = g\nDomain = a\nListen = %s\nInner = %s\nMetrics = %s\n[Platform]\nKind = Native\nStore = %s\n",
+	ini := fmt.Sprintf("[Host]\nName = g\nDomain = a\nListen = %s\nInner = %s\nMetrics = %s\n[Platform]\nKind = Native\nStore = %s\n",
 		freeAddress(t), freeAddress(t), metrics, server.URL)
-	s, err := settings.Parse("settings.ini", []byte(text))
+	s, err := settings.Parse("settings.ini", []byte(ini))
 	is.NoErr(err)
-	h, closeHost := openGateway(s, zerolog.Nop())
-	defer closeHost()
+	gateway, closeGateway := newGateway(s, zerolog.Nop())
+	defer closeGateway()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- h.Serve(context.Background(), ctx) }()
+	go func() { done <- gateway.Serve(context.Background(), ctx) }()
 	run := func(arguments ...string) (int, string) {
 		var out bytes.Buffer
 		code := Run(Config{Arguments: append(arguments, "--host", metrics), Out: &out, Err: &out})
@@ -53,7 +54,7 @@
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		code, out := run("verify", "--kind", "Native", "--store", server.URL)
-		if code == ExitDone {
+		if code == ExitSuccess {
 			is.True(strings.Contains(out, "agrees"))
 			break
 		}
@@ -62,7 +63,7 @@
 		}
 	}
 	code, out := run("explain", "--target", "i-1")
-	is.Equal(code, ExitDone)
+	is.Equal(code, ExitSuccess)
 	is.True(strings.Contains(out, "i-1"))
 	cancel()
 	is.NoErr(<-done)
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -17,25 +17,29 @@
 	"github.com/rs/zerolog"
 )
 
-// gcPercent is how far the heap may grow between two collections; a host's live heap is a few megabytes.
-const gcPercent = 400
+// entryHostGCPercent is the garbage collector's target percentage (GOGC) of an entry host on Etcd. Its live heap is
+// only a few megabytes, so letting it grow to five times that costs little memory and makes collections rare.
+const entryHostGCPercent = 400
 
-// gatewayPercent is the same for hosts whose memory is paid for.
-const gatewayPercent = 40
+// gatewayGCPercent is the garbage collector's target percentage (GOGC) of a gateway. It is lower than that of other
+// entry hosts because gateways run on a platform that charges for the memory they use.
+const gatewayGCPercent = 40
 
 type serveCommand struct {
-	*root
+	*baseCommand
 	Config string `long:"config" required:"true" env:"BRIARCROFT_BOOT" description:"settings file in INI"`
 }
 
-// reloadEvery is how often the settings file is read for changes that come without a signal.
-const reloadEvery = 2 * time.Second
+// settingsCheckInterval is the time between two checks of the settings file; SIGHUP causes a check at once.
+const settingsCheckInterval = 2 * time.Second
 
-// server is a host of either kind.
+// server is an entry host: an entry.Host, or a gateway.Gateway on the users' platform.
 type server interface {
+	// Serve runs the host until stop ends, then stops gracefully, or at once when force ends.
 	Serve(stop, force context.Context) error
+	// Reload applies changed settings, as far as they do not need a restart.
 	Reload(settings.Settings)
-	// Listen and Inner are the addresses for callers and for peers.
+	// Listen returns the address for callers, Inner that for peers, which are the other entry hosts.
 	Listen() string
 	Inner() string
 }
@@ -46,48 +50,50 @@
 	if err != nil {
 		return err
 	}
-	logger := c.logger(s.Log.Level).With().Str("Host", s.Host.Name).Logger()
-	stop, force, release := signals()
+	logger := c.newLogger(s.Log.Level).With().Str("Host", s.Host.Name).Logger()
+	stop, force, release := shutdownContexts()
 	defer release()
-	h, closeHost, err := c.open(s, logger)
+	h, closeHost, err := c.newServer(s, logger)
 	if err != nil {
 		return err
 	}
 	defer closeHost()
 	logger.Info().Str("Listen", h.Listen()).Str("Inner", h.Inner()).Str("Platform", s.Platform.Kind).Msg("entry host started")
-	defer c.follow(h, logger)()
+	defer c.watchSettings(h, logger)()
 	err = h.Serve(stop, force)
 	logger.Info().Err(err).Msg("entry host stopped")
 	return err
 }
 
-// follow hands changed settings to the host; the function that it returns ends that.
-func (c *serveCommand) follow(h server, logger zerolog.Logger) func() {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// watchSettings passes changed settings to the host until the returned function is called.
+func (c *serveCommand) watchSettings(h server, logger zerolog.Logger) func() {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := settings.Watch(ctx, settings.WatchConfig{
-		File: c.Config, Interval: reloadEvery, Reload: hup, OnChange: h.Reload,
+		File: c.Config, Interval: settingsCheckInterval, Reload: hangups, OnChange: h.Reload,
 		OnRejected: func(err error) { logger.Error().Err(err).Msg("new settings refused; the old ones stay in force") },
 	})
 	return func() {
-		signal.Stop(hup)
+		signal.Stop(hangups)
 		cancel()
 		<-done
 	}
 }
 
-// open returns the host that the settings ask for and the function that closes it.
-func (c *serveCommand) open(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
+// newServer returns an entry host for the platform that the settings name, and the function that closes it. A gateway
+// logs to the output stream, an entry host on Etcd to the error stream.
+func (c *serveCommand) newServer(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
 	if s.Platform.Kind == "Native" {
-		h, closeHost := openGateway(s, logger.Output(c.out))
+		h, closeHost := newGateway(s, logger.Output(c.out))
 		return h, closeHost, nil
 	}
-	return openEntry(s, logger)
+	return newEntryHost(s, logger)
 }
 
-func openGateway(s settings.Settings, logger zerolog.Logger) (server, func()) {
-	debug.SetGCPercent(gatewayPercent)
+// newGateway returns an entry host for the users' platform (Kind = Native) and the function that closes it.
+func newGateway(s settings.Settings, logger zerolog.Logger) (server, func()) {
+	debug.SetGCPercent(gatewayGCPercent)
 	if s.Limits.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryBytes))
 	}
@@ -99,25 +105,26 @@
 	}
 }
 
-func openEntry(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
-	debug.SetGCPercent(gcPercent)
+// newEntryHost returns an entry host that uses an etcd-like store (Kind = Etcd) and the function that closes it.
+func newEntryHost(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
+	debug.SetGCPercent(entryHostGCPercent)
 	store, closeStore := internalplatform.NewEtcd(internalplatform.EtcdConfig{URL: s.Platform.Store, Timeout: s.Platform.Timeout})
-	closeList := func() {}
+	closeHostList := func() {}
 	config := entry.Config{Settings: s, Logger: logger, Store: store}
 	if s.Platform.HostList != "" {
-		config.HostList, closeList = internalplatform.NewHostList(internalplatform.HostListConfig{URL: s.Platform.HostList, Timeout: s.Platform.Timeout})
+		config.HostList, closeHostList = internalplatform.NewHostList(internalplatform.HostListConfig{URL: s.Platform.HostList, Timeout: s.Platform.Timeout})
 	}
-	closeAll := func() {
-		closeList()
+	closeClients := func() {
+		closeHostList()
 		closeStore()
 	}
 	h, closeHost, err := entry.New(config)
 	if err != nil {
-		closeAll()
+		closeClients()
 		return nil, nil, err
 	}
 	return h, func() {
 		closeHost()
-		closeAll()
+		closeClients()
 	}, nil
 }
--- a/internal/command/signals_test.go
+++ b/internal/command/signals_test.go
@@ -8,10 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// TestRepeatedSigtermCutsNothing sends SIGTERM again and again, as some supervisors do: only a second SIGINT ends a graceful stop.
+// TestRepeatedSigtermCutsNothing sends SIGTERM repeatedly, as some supervisors do: that must not cut off a graceful
+// stop, only a SIGINT may.
 func TestRepeatedSigtermCutsNothing(t *testing.T) {
 	is := is.New(t)
-	stop, force, release := signals()
+	stop, force, release := shutdownContexts()
 	defer release()
 	send := func(s syscall.Signal) { is.NoErr(syscall.Kill(syscall.Getpid(), s)) }
 	send(syscall.SIGTERM)
--- a/internal/command/verify.go
+++ b/internal/command/verify.go
@@ -10,8 +10,8 @@
 )
 
 type verifyCommand struct {
-	*root
-	hostsOption
+	*baseCommand
+	hostsOptions
 	Store string `long:"store" required:"true" description:"URL of the platform's key-value service"`
 	Kind  string `long:"kind" choice:"Etcd" choice:"Native" default:"Etcd" description:"protocol of the store: Etcd, or Native for the users' platform"`
 	JSON  bool   `long:"json" description:"print the findings as JSON"`
@@ -27,17 +27,18 @@
 		return err
 	}
 	if c.JSON {
-		err = c.json(v)
+		err = c.printJSON(v)
 	} else {
-		err = c.print(v)
+		err = c.printFindings(v)
 	}
 	if err == nil && !v.Agrees() {
-		return ErrDisagrees.New("the chain or a host differs")
+		return ErrFindings.New("the chain of notes is broken or a host differs")
 	}
 	return err
 }
 
-// verify compares the hosts with the store, whose kind decides what it holds.
+// verify compares the hosts with the store. A Native store holds only the newest configuration; an Etcd store holds the
+// chain of all release notes, which is verified too.
 func (c *verifyCommand) verify(ctx context.Context, hosts []operator.HostStatus) (operator.Verification, error) {
 	if c.Kind == "Native" {
 		store, closeStore := platform.NewStore(platform.StoreConfig{URL: c.Store, Timeout: c.Timeout})
@@ -46,25 +47,26 @@
 		if err != nil {
 			return operator.Verification{}, err
 		}
-		return operator.VerifyNewest(newest, hosts), nil
+		return operator.VerifyConfiguration(newest, hosts), nil
 	}
 	store, closeStore := internalplatform.NewEtcd(internalplatform.EtcdConfig{URL: c.Store, Timeout: c.Timeout})
 	defer closeStore()
 	return operator.Verify(ctx, store, hosts)
 }
 
-func (c *verifyCommand) print(v operator.Verification) error {
+// printFindings prints the state of the chain and one line for each host.
+func (c *verifyCommand) printFindings(v operator.Verification) error {
 	if v.Chain != "" {
 		fmt.Fprintf(c.out, "chain: broken after note %d: %s\n", v.Number, v.Chain)
 	} else {
 		fmt.Fprintf(c.out, "chain: %d notes in order, head %s\n", v.Number, v.Hash)
 	}
 	for _, f := range v.Findings {
-		word := "agrees"
+		result := "agrees"
 		if !f.Agrees {
-			word = "differs: " + f.Detail
+			result = "differs: " + f.Detail
 		}
-		if _, err := fmt.Fprintf(c.out, "%s %s: %s\n", f.Address, f.Host, word); err != nil {
+		if _, err := fmt.Fprintf(c.out, "%s %s: %s\n", f.Address, f.Host, result); err != nil {
 			return err
 		}
 	}
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -37,7 +37,7 @@
 		f.writeRefusal(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
 		return
 	}
-	answer := address.Answer{
+	answer := address.Response{
 		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.NoteNumber(),
 		Grant: h.idempotency.IssueGrant(now).String(), GrantHost: h.Name(),
 	}
@@ -51,7 +51,7 @@
 	if len(answer.Addresses) == 0 {
 		answer.Addresses = append(answer.Addresses, toAddress(h.membership.Self()))
 	}
-	page.Write(w, http.StatusOK, answer)
+	page.WriteJSON(w, http.StatusOK, answer)
 }
 
 func toAddress(m host.Member) address.Address {
@@ -61,7 +61,7 @@
 // serveNote answers GET /Note: the note in force. A note is one revision of the configuration.
 func (f *frontend) serveNote(w http.ResponseWriter, _ *http.Request) {
 	head, hash, _ := f.host.chain.Head()
-	page.Write(w, http.StatusOK, note.Status{
+	page.WriteJSON(w, http.StatusOK, note.Status{
 		Host: f.host.Name(), Incarnation: f.host.incarnation, Number: head.Number, Hash: hash, Configuration: head.Configuration,
 		InForceSince: time.UnixMilli(f.host.inForceSince.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
 	})
@@ -82,7 +82,7 @@
 	if !self.Ready || self.Leaving {
 		status = http.StatusServiceUnavailable
 	}
-	page.Write(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.membership.Isolated(f.host.now()), self.Note})
+	page.WriteJSON(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.membership.Isolated(f.host.now()), self.Note})
 }
 
 // Status is the response to GET /Status: what a host knows of itself, its peers and its services.
@@ -130,7 +130,7 @@
 }
 
 func (f *frontend) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	page.Write(w, http.StatusOK, f.host.status())
+	page.WriteJSON(w, http.StatusOK, f.host.status())
 }
 
 // newVars returns the host's expvar map. It is not published globally, so that several hosts can run in one process.
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -161,14 +161,14 @@
 		if err != nil {
 			return nil, err
 		}
-		h.peerTLS = files.Peers()
+		h.peerTLS = files.PeerTLS()
 	}
 	if s.TLS.CallerCertificate != "" {
 		files, err := certificate.Load(certificate.Config{Certificate: s.TLS.CallerCertificate, Key: s.TLS.CallerKey})
 		if err != nil {
 			return nil, err
 		}
-		h.callerTLS = files.Callers()
+		h.callerTLS = files.CallerTLS()
 	}
 	var closeBook, closeClient, closeSteering func()
 	h.records, closeBook = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -81,7 +81,7 @@
 					}
 				}
 			}
-			forEachLink(f.net.Part)
+			forEachLink(f.net.Partition)
 			time.Sleep(20 * time.Second)
 			number := f.publish(followingNote(1))
 			time.Sleep(noteBound)
@@ -106,8 +106,8 @@
 		{"store down while a failure domain is partitioned", func(f *fleet) time.Duration {
 			f.store.SetFaults(standin.Faults{Down: true})
 			for _, b := range []string{"entry-2", "entry-3", "entry-5", "entry-6"} {
-				f.net.Part("entry-1", b)
-				f.net.Part("entry-4", b)
+				f.net.Partition("entry-1", b)
+				f.net.Partition("entry-4", b)
 			}
 			time.Sleep(10 * time.Second)
 			f.expectServing(3)
@@ -129,7 +129,7 @@
 	expectRecovery(t, func(f *fleet) time.Duration {
 		for i, a := range f.order {
 			for _, b := range f.order[i:] {
-				f.net.SilenceOneWay(a, b)
+				f.net.BlackholeOneWay(a, b)
 			}
 		}
 		number := f.publish(followingNote(1))
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -62,7 +62,7 @@
 			http.Error(w, "no host is ready", http.StatusServiceUnavailable)
 			return
 		}
-		page.Write(w, http.StatusOK, g.dialect.AddressesBody(addresses, int(g.reloadable.Load().Limits.AddressMaxAge/time.Second)))
+		page.WriteJSON(w, http.StatusOK, g.dialect.AddressesBody(addresses, int(g.reloadable.Load().Limits.AddressMaxAge/time.Second)))
 	})
 	return serveHTTP(ctx, l, mux)
 }
@@ -110,7 +110,7 @@
 // serveNote serves the status of the note, that is the configuration revision, in force.
 func (g *Gateway) serveNote(w http.ResponseWriter, _ *http.Request) {
 	head, hash, _ := g.chain.Head()
-	page.Write(w, http.StatusOK, note.Status{
+	page.WriteJSON(w, http.StatusOK, note.Status{
 		Host: g.settings.Host.Name, Incarnation: g.incarnation, Number: head.Number, Hash: hash, Configuration: head.Configuration,
 		InForceSince: time.UnixMilli(g.inForceSince.Load()).UTC(), Operator: head.Note.Operator, Reason: head.Note.Reason,
 	})
@@ -119,7 +119,7 @@
 // serveStatus serves the membership and the latencies as this host sees them.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	self := g.members.Self()
-	page.Write(w, http.StatusOK, struct {
+	page.WriteJSON(w, http.StatusOK, struct {
 		Host, Domain   string
 		Incarnation    uint64
 		Ready, Leaving bool
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -215,10 +215,10 @@
 			}
 		}
 		isolated, neighbour := others[0], others[1]
-		f.net.Part(isolated, "store")
+		f.net.Partition(isolated, "store")
 		for _, m := range members {
 			if m.Name != isolated && m.Name != neighbour {
-				f.net.Part(isolated, m.Name)
+				f.net.Partition(isolated, m.Name)
 			}
 		}
 		time.Sleep(time.Second)
@@ -304,17 +304,17 @@
 		{"killed", func(f *fleet, home string) { f.crash(home) }},
 		{"partitioned", func(f *fleet, home string) {
 			for name := range f.hosts {
-				f.net.Part(name, home)
+				f.net.Partition(name, home)
 			}
 		}},
 		{"partitioned for connections to it", func(f *fleet, home string) {
 			for name := range f.hosts {
-				f.net.SilenceOneWay(name, home)
+				f.net.BlackholeOneWay(name, home)
 			}
 		}},
 		{"partitioned for connections from it", func(f *fleet, home string) {
 			for name := range f.hosts {
-				f.net.SilenceOneWay(home, name)
+				f.net.BlackholeOneWay(home, name)
 			}
 		}},
 	}
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -242,11 +242,11 @@
 	case "HostKilled", "HostStopped":
 		x.restartHost(f, host)
 	case "HostsParted":
-		x.net.Part(host, peer)
+		x.net.Partition(host, peer)
 		time.Sleep(f.Duration)
 		x.net.Heal(host, peer)
 	case "HostsSilentOneWay":
-		x.net.SilenceOneWay(host, peer)
+		x.net.BlackholeOneWay(host, peer)
 	case "TargetLeaves":
 		x.drainTarget(f, server)
 	case "StoreForgetsHistory":
--- a/internal/inner/tls_test.go
+++ b/internal/inner/tls_test.go
@@ -69,11 +69,11 @@
 // loadPeerTLS returns the mutual TLS configuration of a host that checks its certificate files for changes at every
 // handshake.
 func loadPeerTLS(certificate, key, authority string) (*tls.Config, error) {
-	files, err := certificates.Load(certificates.Config{Certificate: certificate, Key: key, Authority: authority, CheckEvery: time.Nanosecond})
+	files, err := certificates.Load(certificates.Config{Certificate: certificate, Key: key, Authority: authority, CheckInterval: time.Nanosecond})
 	if err != nil {
 		return nil, err
 	}
-	return files.Peers(), nil
+	return files.PeerTLS(), nil
 }
 
 // countsServer answers Counts calls and no others.
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -18,5 +18,5 @@
 			return
 		}
 	}
-	page.Write(w, http.StatusOK, struct{ Records []Record }{l.Since(r.URL.Query().Get("Target"), since)})
+	page.WriteJSON(w, http.StatusOK, struct{ Records []Record }{l.Since(r.URL.Query().Get("Target"), since)})
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,5 @@
-// Package socket opens TCP connections that notice by themselves when the other side has gone silent.
+// Package socket opens TCP connections that fail when the other side stops acknowledging, and detects connections that
+// the other side has closed while they were idle.
 package socket
 
 import (
@@ -10,60 +11,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config sets the times of a dialer.
+// Config holds the time limits of connections.
 type Config struct {
-	// Timeout bounds the opening of a connection.
+	// Timeout limits how long opening a connection may take.
 	Timeout time.Duration
-	// Silence is how long sent bytes or keep-alive probes may go unacknowledged before the connection is given up.
-	Silence time.Duration
+	// UnackedTimeout is how long sent bytes or keep-alive probes may stay unacknowledged before the connection is
+	// closed.
+	UnackedTimeout time.Duration
 }
 
-// keepAliveProbes is how many unanswered keep-alive probes end a connection.
+// keepAliveProbes is the number of unacknowledged keep-alive probes after which a connection is closed.
 const keepAliveProbes = 3
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns a function that opens connections with the given times.
-func Dialer(c Config) DialFunc {
-	interval := max(time.Second, c.Silence/(keepAliveProbes+1))
+// NewDialFunc returns a function that opens connections with the given time limits. Keep-alive probes are at least
+// a second apart, and otherwise timed so that an idle connection to a dead host is closed after UnackedTimeout.
+func NewDialFunc(c Config) DialFunc {
+	interval := max(time.Second, c.UnackedTimeout/(keepAliveProbes+1))
 	dialer := net.Dialer{
 		Timeout:         c.Timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return setUserTimeout(raw, c.Silence)
+			return setUserTimeout(raw, c.UnackedTimeout)
 		},
 	}
 	return dialer.DialContext
 }
 
-// setUserTimeout bounds how long the kernel waits for an acknowledgement of sent bytes.
-func setUserTimeout(raw syscall.RawConn, silence time.Duration) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT, which limits how long the kernel waits for an acknowledgement of sent bytes
+// before it closes the connection.
+func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// Stale reports whether an idle connection has ended, or holds bytes that nobody asked for. It never blocks.
+// Stale reports whether an idle connection cannot be reused, because the other side has closed it, or has sent bytes
+// although no request is outstanding. It never blocks.
 func Stale(c net.Conn) bool {
-	holder, raw := c.(syscall.Conn)
-	if !raw {
+	sysConn, ok := c.(syscall.Conn)
+	if !ok {
 		return false
 	}
-	control, err := holder.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return true
 	}
 	stale := false
-	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, received := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		stale = n > 0 || received != unix.EAGAIN && received != unix.EWOULDBLOCK
+	err = rawConn.Read(func(fd uintptr) bool {
+		var buffer [1]byte
+		n, _, recvErr := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		stale = n > 0 || recvErr != unix.EAGAIN && recvErr != unix.EWOULDBLOCK
 		return true
 	})
 	return stale || err != nil
