--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -14,7 +14,8 @@
 	"briarcroft/internal/steering"
 )
 
-// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that hears from no peer.
+// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that hears from no peer or knows
+// no live host.
 const isolatedMaxAge = 1
 
 // serveAddresses answers GET /Addresses: the homes of a service, which are the entry hosts that a caller should connect
--- a/internal/entry/chain_test.go
+++ b/internal/entry/chain_test.go
@@ -12,7 +12,8 @@
 	"briarcroft/internal/steering"
 )
 
-// Sizes of the chain of services. A request may cause at most maxAttempts attempts per layer on average.
+// Sizes of the chain of services, as required of the load balancer. A request may cause at most maxAttempts attempts per
+// layer on average.
 const (
 	chainLayers   = 23
 	chainRequests = 400
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -51,7 +51,7 @@
 
 // heartbeatRound exchanges heartbeats with some peers and records changes in the membership. If this host was paused
 // since the last round, for example because its machine was suspended, its note and its membership table may be stale:
-// it then counts as not compared with the store and with peers, and reads the store again.
+// it is then not ready until it has read the store again or compared its note with that of a peer.
 func (h *Host) heartbeatRound(ctx context.Context) {
 	recipients := h.membership.Beat(h.now())
 	if h.membership.TakePaused() {
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -15,7 +15,8 @@
 	"briarcroft/internal/steering"
 )
 
-// withFleetServing runs a test on a fleet with entry hosts and backend servers, once its first note is in force on all hosts.
+// withFleetServing runs a test on a fleet with entry hosts and backend servers, once its first note is in force on all
+// hosts.
 func withFleetServing(t *testing.T, hosts, targets int, behave func(*fakeBackend, http.ResponseWriter, *http.Request, string), run func(f *fleet, backends []*fakeBackend)) {
 	withFleet(t, func(f *fleet) {
 		f.startAll(hosts)
@@ -63,7 +64,7 @@
 		response, _, err := f.send(host, http.MethodPost, "/once", "", map[string]string{"Idempotency-Key": "k"})
 		f.is.NoErr(err)
 		f.is.Equal(response.StatusCode, http.StatusOK)
-		f.is.True(time.Since(began) < 100*time.Millisecond) // a keyed request uses a new connection or one that has worked recently
+		f.is.True(time.Since(began) < 100*time.Millisecond) // a keyed request uses a new connection or a recently used one
 		t.Logf("%d connections went silent; slowest GET request after that %v", silenced, worst)
 	})
 }
@@ -91,7 +92,7 @@
 			crashes += b.totalRuns()
 		}
 		t.Logf("30 sends of a crashing request broke %d connections; statuses %v", crashes, statuses)
-		f.is.True(crashes <= 4)                                                           // two on each host before it learns of the quarantine
+		f.is.True(crashes <= 4)                                                           // two on each host that has not learned of the quarantine yet
 		f.is.True(statuses[http.StatusUnprocessableEntity] >= 25)                         // the others are refused without an attempt
 		f.is.Equal(len(f.nodes["entry-1"].host.dispatcher.Services()["s"].Eligible()), 6) // no target is ejected because of the request
 		response, _, err := f.send(f.nodes["entry-1"], http.MethodGet, "/well", "", nil)
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -137,7 +137,8 @@
 	return n
 }
 
-// startAll starts a number of hosts spread over three failure domains, or over five if there are more than 30 hosts.
+// startAll starts a number of hosts spread over three failure domains, or over five, as planned for large fleets, if there
+// are more than 30 hosts.
 func (f *fleet) startAll(count int) {
 	domains := []string{"a", "b", "c"}
 	if count > 30 {
--- a/internal/entry/frontend.go
+++ b/internal/entry/frontend.go
@@ -24,8 +24,8 @@
 	// defaultRetryAllowance is how many further attempts a request and all calls it causes may make in total.
 	// Callers can only lower it, through the retry allowance header.
 	defaultRetryAllowance = 2
-	// maxRunTime is the longest time for which a request may run. The idempotency table keeps an entry for this long after
-	// the window in which its grant may be used.
+	// maxRunTime is the longest time for which a request may run, which is the longest deadline that a rule may set.
+	// The idempotency table keeps an entry for this long after the window in which its grant may be used.
 	maxRunTime = 5 * time.Minute
 )
 
@@ -65,8 +65,9 @@
 	}
 }
 
-// ServeHTTP implements http.Handler: the host answers reserved paths itself and proxies all others to a target.
-// While the host is leaving, it closes HTTP/1.1 connections after each response so that callers connect to other hosts.
+// ServeHTTP implements http.Handler: the host answers requests for reserved paths itself and proxies all others to a
+// target. While the host is leaving, it closes HTTP/1.1 connections after each response so that callers connect to other
+// hosts.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.host.membership.Self().Leaving {
 		w.Header().Set("Connection", "close")
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -47,7 +47,7 @@
 const (
 	// maxRecords is how many event records are kept for /Explain.
 	maxRecords = 8192
-	// maxNoteHints is the capacity of the queue of note hints; further ones are dropped.
+	// maxNoteHints is how many hints to newer notes may be queued; further ones are dropped.
 	maxNoteHints = 64
 	// heartbeatPeersPerDomain is how many peers of each failure domain a round of heartbeats goes to.
 	heartbeatPeersPerDomain = 2
@@ -99,9 +99,9 @@
 	callerServer     *http.Server
 	callerListener   net.Listener
 	peerListener     net.Listener
-	// storeReachable is whether the last read of notes from the store succeeded.
+	// storeReachable is whether the last read of notes from the store succeeded. A pause of the host resets it.
 	storeReachable atomic.Bool
-	// storeRead is set after the first attempt to read notes from the store.
+	// storeRead is set by the first attempt to read notes from the store.
 	storeRead atomic.Bool
 	// peersCompared is set once the host has compared its note with that of a peer, since its start or last pause.
 	peersCompared atomic.Bool
@@ -231,8 +231,8 @@
 // Ready reports whether the host is ready to serve callers, so that peers may name it in address responses.
 func (h *Host) Ready() bool { return h.membership.Self().Ready }
 
-// Serve runs the host until stop is done and then stops it gracefully. When force is done, it closes all connections
-// and returns.
+// Serve runs the host until stop is done and then stops it gracefully. When force is done, it returns without waiting for
+// requests in flight.
 func (h *Host) Serve(stop, force context.Context) error {
 	tasks := duty.New()
 	defer tasks.End()
--- a/internal/entry/hostlist.go
+++ b/internal/entry/hostlist.go
@@ -5,8 +5,10 @@
 	"briarcroft/internal/route"
 )
 
-// applyHostList drains the targets and entry hosts that the platform's host list marks as leaving, and ends the draining
-// of targets that were leaving in the previous list. It returns the addresses of leaving hosts.
+// applyHostList applies the platform's host list. It drains the targets that the list marks as leaving, and ends the
+// draining of targets that were leaving in the previous list. It passes the entry hosts of the list to the membership,
+// which takes leaving ones out of use and finds peers by the addresses of the others. It returns the addresses of all
+// leaving hosts.
 func (h *Host) applyHostList(list []platform.ListedHost, previous map[string]bool) map[string]bool {
 	addresses, names := map[string]bool{}, map[string]bool{}
 	var entryHosts []string
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -17,8 +17,8 @@
 
 // Limits of forwarding keyed requests between entry hosts.
 const (
-	// forwardAttempts is how often a request is sent to one host. Sending it again is safe, because that host
-	// runs each key at most once.
+	// forwardAttempts is how often a request is sent to one host before the next one is tried. Sending it again is safe,
+	// because a host runs each key at most once.
 	forwardAttempts = 2
 	// sealedTableReplicas is how many peers get a copy of the idempotency table of a host that stops gracefully.
 	sealedTableReplicas = 3
@@ -128,7 +128,8 @@
 	}
 }
 
-// lateResultGrace is how long to wait for the result of a run after the deadline of its request.
+// lateResultGrace is how long to wait for the result of a run after the deadline of its request, before the outcome is
+// reported as unknown.
 const lateResultGrace = 250 * time.Millisecond
 
 // runAndRecord runs a keyed request and stores its outcome in the idempotency table before it returns the result,
@@ -165,6 +166,8 @@
 	return replayable
 }
 
+// recordRefused stores in the idempotency table that a request was not run, or that its outcome is unknown if the refusal
+// does not say that it was not run.
 func (h *Host) recordRefused(key claim.Key, refusal *steering.Refusal) {
 	if refusal != nil && refusal.Outcome == claim.NotRun {
 		h.idempotency.Finish(key, claim.NeverHanded{})
@@ -173,8 +176,8 @@
 	h.idempotency.Finish(key, claim.Lost{})
 }
 
-// forwardToGrantHost sends the request to the host that issued its grant or, when that host has stopped, to the peers
-// that hold a copy of its idempotency table. It tries the next address when one does not know the grant.
+// forwardToGrantHost sends the request to the host that issued its grant and, when that host has stopped, does not answer
+// or does not know the grant, to the hosts that hold a copy of its idempotency table, one after another.
 func (h *Host) forwardToGrantHost(ctx context.Context, r *steering.Request, key claim.Key) steering.Result {
 	h.stats.forwarded.Add(1)
 	request := &inner.PassRequest{
@@ -214,8 +217,9 @@
 	return addresses
 }
 
-// sealedTableHolders returns the peers that hold the sealed idempotency table of a host that has left. They are chosen
-// by rendezvous hash of the host's name, so that every host finds the same ones.
+// sealedTableHolders returns the live hosts that hold the sealed idempotency table of a host that has left, or get it
+// while that host stops. They are chosen by rendezvous hashing with the name of the host, so that all hosts with the same
+// membership choose the same ones.
 func (h *Host) sealedTableHolders(name string, incarnation uint64) []host.Member {
 	var peers []host.Member
 	for _, m := range h.membership.Live(h.now()) {
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -27,7 +27,7 @@
 		cancel()
 		switch {
 		case received && hint.address != "" && hint.number <= h.chain.Number():
-			// The note has already come from elsewhere.
+			// The note has already come from the store or from another peer.
 		case received && hint.address != "":
 			h.fetchNotes(ctx, hint.address)
 		case received, h.isWatcher(), !h.membership.Self().Ready:
@@ -83,7 +83,7 @@
 	if len(reply.Snapshot) > 0 {
 		var s note.Snapshot
 		if err := json.Unmarshal(reply.Snapshot, &s); err != nil {
-			return note.ErrChain.New("cannot decode the snapshot that the peer sent: %v", err)
+			return note.ErrChain.New("cannot decode the snapshot that the peer sent: %v; fetch the notes from another peer", err)
 		}
 		if _, err := chain.AdoptSnapshot(s); err != nil {
 			return err
@@ -92,7 +92,7 @@
 	for _, text := range reply.Records {
 		var r note.Record
 		if err := json.Unmarshal(text, &r); err != nil {
-			return note.ErrChain.New("cannot decode a record that the peer sent: %v", err)
+			return note.ErrChain.New("cannot decode a record that the peer sent: %v; fetch the notes from another peer", err)
 		}
 		if _, err := chain.Adopt(r); err != nil {
 			return err
@@ -118,7 +118,8 @@
 	h.triggerHeartbeat()
 }
 
-// watchLoop keeps a watch on the notes in the store open while this host is a watcher.
+// watchLoop keeps a watch on the notes in the store open while this host is a watcher. Each change
+// that the watch reports makes noteLoop read the store at once.
 func (h *Host) watchLoop(ctx context.Context) {
 	for duty.Sleep(ctx, noteInterval) {
 		if !h.isWatcher() {
@@ -128,7 +129,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			// The watch only makes it faster: noteLoop also reads the store once per noteInterval.
+			// The watch only makes new notes arrive sooner: noteLoop of a watcher also reads the store once per noteInterval.
 			_ = h.config.Store.Watch(watchCtx, note.KeyPrefix, func(platform.Entry) { h.noteHints.Push(noteHint{}) })
 		}()
 		h.watchUntil(watchCtx, done)
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -13,8 +13,9 @@
 	"briarcroft/internal/steering"
 )
 
-// statusUnknownGrant is the status of a reply to Pass from a host that neither issued the grant nor holds the sealed
-// table of the host that did.
+// statusUnknownGrant is the status of a reply to Pass from a host that cannot answer the request: it neither issued the
+// grant nor holds the sealed table of the host that did, or no rule of its note matches. The sender then tries the next
+// host.
 const statusUnknownGrant = 0
 
 // headerForwardedKey is the header field that carries the key, with its grant, of a request that is forwarded to a peer.
@@ -22,7 +23,7 @@
 
 // peerServer implements the RPCs of entry hosts that peers call.
 type peerServer struct {
-	// The embedded type answers the RPCs for placement, which only gateways implement.
+	// The embedded type rejects the RPCs for placement, which only gateways implement.
 	inner.DRPCPeerUnimplementedServer
 	host *Host
 }
@@ -103,7 +104,7 @@
 	return &inner.PassReply{Status: statusUnknownGrant}
 }
 
-// newRequest converts a forwarded request; it returns false when no rule matches it.
+// newRequest converts a forwarded request for the dispatcher; it returns false when no rule matches it.
 func (p *peerServer) newRequest(ctx context.Context, r *inner.PassRequest, header http.Header) (*steering.Request, bool) {
 	rule, _, found := p.host.dispatcher.Match(r.Host, pathOf(r.Uri), r.Method)
 	if !found {
@@ -171,7 +172,7 @@
 	remaining := time.Duration(r.RemainingMilliseconds) * time.Millisecond
 	sealedAt := time.Duration(r.SealedAtMilliseconds) * time.Millisecond
 	if !p.host.sealedTables.Put(p.host.now(), claim.Handover{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Keep: remaining, Entries: entries}) {
-		return nil, inner.ErrPeer.New("host %s has no room for the sealed idempotency table of host %s", p.host.Name(), r.Host)
+		return nil, inner.ErrPeer.New("host %s has no room for the sealed idempotency table of host %s; forward resends of its keys to the next host that holds the table", p.host.Name(), r.Host)
 	}
 	return &inner.SealReply{}, nil
 }
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -13,7 +13,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Store keys and times of claims on plain keys.
+// Keys and times of claims. A claim is an entry in the platform's store that names the one incarnation of a host that may
+// run the request with a plain key, that is, an Idempotency-Key without a grant.
 const (
 	claimKeyPrefix = "briarcroft/claims/"
 	// claimLeaseTime is how long a claim stays in the store after its lease was granted.
@@ -21,7 +22,7 @@
 	// leaseRenewalAge is the age at which a lease is replaced for new claims. It is a small part of claimLeaseTime,
 	// so that each claim stays in the store much longer than its key may be used.
 	leaseRenewalAge = time.Hour
-	// createAttempts is how often a claim is written to the store until the store confirms who holds it.
+	// createAttempts is how often the write of a claim is attempted when the store does not confirm it.
 	createAttempts   = 3
 	createRetryDelay = 50 * time.Millisecond
 )
@@ -52,8 +53,8 @@
 }
 
 // claim returns the plain key with a grant: newGrant if this host wins the claim, or else the grant that the store holds.
-// claimed is false when the claim was not confirmed. The request has not run then, and if the write takes effect later,
-// the store names newGrant, so that no other host can run the request.
+// claimed is false when the rate limit is exceeded or the store has not confirmed the claim. The request has not run then,
+// and if the write takes effect later, the store names newGrant, so that no other host can run the request.
 func (p *plainKeyStore) claim(ctx context.Context, k claim.Key, newGrant claim.Grant) (key claim.Key, claimed bool) {
 	if !p.limiter.Allow() {
 		return k, false
--- a/internal/entry/probes.go
+++ b/internal/entry/probes.go
@@ -22,8 +22,9 @@
 	probeBytes = 512
 )
 
-// probeLoop requests the load report of targets that are idle, ejected or draining. Probes are limited by the measuring
-// budget of each failure domain; when it is used up, the rest of the round is skipped.
+// probeLoop requests the load report of targets that have not responded recently, because they are idle, ejected or
+// draining. The measuring budget limits what probes and pushes of in-flight counts may cost this host; the first probe that
+// it refuses ends the round.
 func (h *Host) probeLoop(ctx context.Context) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: probeTimeout, DialContext: h.config.Dial}
 	defer transport.CloseIdleConnections()
--- a/internal/entry/protocol_test.go
+++ b/internal/entry/protocol_test.go
@@ -18,7 +18,8 @@
 	"github.com/rs/zerolog"
 )
 
-// writeCertificate writes the certificate and key of httptest as PEM files and returns their paths and a pool that trusts it.
+// writeCertificate writes the certificate and key of httptest as PEM files and returns their paths and a pool that trusts
+// the certificate.
 func writeCertificate(is *is.I, dir string) (certificate, key string, pool *x509.CertPool) {
 	server := httptest.NewTLSServer(http.NotFoundHandler())
 	defer server.Close()
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -13,11 +13,11 @@
 	"briarcroft/internal/settings"
 )
 
-// Longest allowed times of recovery.
+// Longest times that recovery may take, as required of the load balancer.
 const (
 	// noteBound is how long a published note may take to be in force on all hosts.
 	noteBound = 2 * time.Second
-	// plannedSizeNoteBound is how long it may take in a fleet of the planned size, 40 hosts.
+	// plannedSizeNoteBound takes the place of noteBound in a fleet of the planned size, 40 hosts.
 	plannedSizeNoteBound = 12 * time.Second
 	// membershipBound is how long a host that has ended may stay in address responses, and one that is back may be missing.
 	membershipBound = 5 * time.Second
@@ -124,7 +124,7 @@
 }
 
 // TestRecoveryFromOneWaySilence makes every open connection between hosts lose all data in one direction and then publishes
-// a note: it must come into force in the usual time, over new connections.
+// a note: it must come into force on all hosts within noteBound, over new connections.
 func TestRecoveryFromOneWaySilence(t *testing.T) {
 	expectRecovery(t, func(f *fleet) time.Duration {
 		for i, a := range f.order {
@@ -168,8 +168,8 @@
 	})
 }
 
-// TestAllSeedsReplaced replaces hosts one after another by hosts with new addresses, until none of the seeds in the settings
-// exists: new hosts must find the others through the platform's host list.
+// TestAllSeedsReplaced replaces hosts one after another by hosts with new addresses, until none of the seeds in the
+// settings exists: new hosts must find the others through the platform's host list.
 func TestAllSeedsReplaced(t *testing.T) {
 	withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
 		f.publish(followingNote(1))
--- a/internal/entry/serve_test.go
+++ b/internal/entry/serve_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestSlowStreamOutlivesTheDeadline checks that a response may take longer than the rule's deadline once it has begun, and
-// that a request whose response has not begun by the deadline fails at once.
+// that a request whose response has not begun by the deadline fails then.
 func TestSlowStreamOutlivesTheDeadline(t *testing.T) {
 	behave := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, _ string) {
 		if r.URL.Path == "/late" {
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -17,7 +17,8 @@
 	sealPartBytes = 1 << 20
 	// sealTimeout bounds the copying of the table to all peers.
 	sealTimeout = 3 * time.Second
-	// addressAgeMargin is added to the time for which callers may cache an address response before the listener closes.
+	// addressAgeMargin is how long the host keeps accepting keyed requests after the last cached address response that names
+	// it has expired.
 	addressAgeMargin = time.Second
 )
 
@@ -43,7 +44,7 @@
 	return err
 }
 
-// replicateTable copies the sealed idempotency table to peers, which answer resends of its keys from now on.
+// replicateTable copies the sealed idempotency table to peers, which answer resends of its keys from then on.
 func (h *Host) replicateTable(ctx context.Context) {
 	parts := sealRequests(h.idempotency.Export(h.now()))
 	ctx, cancel := context.WithTimeout(ctx, sealTimeout)
@@ -91,7 +92,7 @@
 	return parts
 }
 
-// tableAssembler reassembles sealed tables, which peers send in parts. It is safe for concurrent use.
+// tableAssembler joins the parts in which peers send their sealed idempotency tables. It is safe for concurrent use.
 type tableAssembler struct {
 	mu     sync.Mutex
 	tables map[tableID]*partialTable
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -13,7 +13,7 @@
 )
 
 // writeResult sends a result to the caller. If a response breaks off before its end, it aborts the caller's connection,
-// so that the caller does not take the response for complete.
+// so that the caller does not take a truncated response for a complete one.
 func (f *frontend) writeResult(w http.ResponseWriter, result steering.Result) {
 	switch result := result.(type) {
 	case *steering.Refusal:
@@ -63,7 +63,7 @@
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			// Writers that do not support deadlines are those of tests and of requests from peers; they never block.
+			// The error is ignored: a writer without support for deadlines keeps the response in memory and never blocks.
 			_ = control.SetWriteDeadline(time.Now().Add(stallTimeout))
 			if _, writeErr := w.Write(buffer[:n]); writeErr != nil {
 				return writeErr
