--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -28,7 +28,7 @@
 	host *Host
 }
 
-// Heartbeat implements inner.DRPCPeerServer.
+// Heartbeat implements inner.DRPCPeerServer: it merges the peer's membership and quarantines and replies with its own.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	h := p.host
 	h.handlePeerState(r.Sender, r.Members, r.Quarantines)
@@ -37,13 +37,14 @@
 	return reply, nil
 }
 
-// Counts implements inner.DRPCPeerServer.
+// Counts implements inner.DRPCPeerServer: it stores the requests in flight that a peer pushed.
 func (p *peerServer) Counts(_ context.Context, r *inner.CountsRequest) (*inner.CountsReply, error) {
 	p.host.handleCounts(r)
 	return &inner.CountsReply{}, nil
 }
 
-// FetchNotes implements inner.DRPCPeerServer.
+// FetchNotes implements inner.DRPCPeerServer: it returns the records of the notes that follow the one that the peer has, or
+// a snapshot of the newest configuration when those records are no longer kept.
 func (p *peerServer) FetchNotes(_ context.Context, r *inner.FetchNotesRequest) (*inner.FetchNotesReply, error) {
 	snapshot, records := p.host.chain.Since(int(r.Above))
 	reply := &inner.FetchNotesReply{}
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -137,7 +137,8 @@
 	})
 }
 
-// expectRecovery causes a failure in a fleet and checks that the time to recover that fail returns is within the bound.
+// expectRecovery calls fail, which causes a failure in a fleet and returns how long the recovery took, and checks that this
+// is within membershipBound and that the fleet serves requests again.
 func expectRecovery(t *testing.T, fail func(f *fleet) time.Duration) {
 	withFleetServing(t, 6, 3, echo, func(f *fleet, _ []*fakeBackend) {
 		took := fail(f)
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -21,7 +21,7 @@
 // soakCallers is the number of callers that send requests concurrently.
 const soakCallers = 12
 
-// TestAtMostOnceSoak sends keyed requests while two random faults at a time affect hosts, backend servers, the network and
+// TestAtMostOnceSoak sends keyed requests while pairs of random faults affect hosts, backend servers, the network and
 // the store. It checks that no key runs twice, that no request with outcome NotRun has run, and that each response is
 // complete and belongs to its request.
 func TestAtMostOnceSoak(t *testing.T) {
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -17,8 +17,8 @@
 	sealPartBytes = 1 << 20
 	// sealTimeout bounds the copying of the table to all peers.
 	sealTimeout = 3 * time.Second
-	// addressAgeMargin is how long the host keeps accepting keyed requests after the last cached address response that names
-	// it has expired.
+	// addressAgeMargin is how long the host keeps accepting requests after the last cached address response that names it
+	// has expired.
 	addressAgeMargin = time.Second
 )
 
