--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -13,8 +13,9 @@
 	"briarcroft/internal/steering"
 )
 
-// statusUnknownGrant is the status of a reply to Pass from a host that neither issued the grant nor holds the sealed
-// table of the host that did.
+// statusUnknownGrant is the status of a reply to Pass from a host that cannot answer the request: it neither issued the
+// grant nor holds the sealed table of the host that did, or no rule of its note matches. The sender then tries the next
+// host.
 const statusUnknownGrant = 0
 
 // headerForwardedKey is the header field that carries the key, with its grant, of a request that is forwarded to a peer.
@@ -22,12 +23,12 @@
 
 // peerServer implements the RPCs of entry hosts that peers call.
 type peerServer struct {
-	// The embedded type answers the RPCs for placement, which only gateways implement.
+	// The embedded type rejects the RPCs for placement, which only gateways implement.
 	inner.DRPCPeerUnimplementedServer
 	host *Host
 }
 
-// Heartbeat implements inner.DRPCPeerServer.
+// Heartbeat implements inner.DRPCPeerServer: it merges the peer's membership and quarantines and replies with its own.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
 	h := p.host
 	h.handlePeerState(r.Sender, r.Members, r.Quarantines)
@@ -36,13 +37,14 @@
 	return reply, nil
 }
 
-// Counts implements inner.DRPCPeerServer.
+// Counts implements inner.DRPCPeerServer: it stores the requests in flight that a peer pushed.
 func (p *peerServer) Counts(_ context.Context, r *inner.CountsRequest) (*inner.CountsReply, error) {
 	p.host.handleCounts(r)
 	return &inner.CountsReply{}, nil
 }
 
-// FetchNotes implements inner.DRPCPeerServer.
+// FetchNotes implements inner.DRPCPeerServer: it returns the records of the notes that follow the one that the peer has, or
+// a snapshot of the newest configuration when those records are no longer kept.
 func (p *peerServer) FetchNotes(_ context.Context, r *inner.FetchNotesRequest) (*inner.FetchNotesReply, error) {
 	snapshot, records := p.host.chain.Since(int(r.Above))
 	reply := &inner.FetchNotesReply{}
@@ -103,7 +105,7 @@
 	return &inner.PassReply{Status: statusUnknownGrant}
 }
 
-// newRequest converts a forwarded request; it returns false when no rule matches it.
+// newRequest converts a forwarded request for the dispatcher; it returns false when no rule matches it.
 func (p *peerServer) newRequest(ctx context.Context, r *inner.PassRequest, header http.Header) (*steering.Request, bool) {
 	rule, _, found := p.host.dispatcher.Match(r.Host, pathOf(r.Uri), r.Method)
 	if !found {
@@ -171,7 +173,7 @@
 	remaining := time.Duration(r.RemainingMilliseconds) * time.Millisecond
 	sealedAt := time.Duration(r.SealedAtMilliseconds) * time.Millisecond
 	if !p.host.sealedTables.Add(p.host.now(), claim.Handover{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Retention: remaining, Entries: entries}) {
-		return nil, inner.ErrPeerFailed.New("host %s has no room for the sealed idempotency table of host %s", p.host.Name(), r.Host)
+		return nil, inner.ErrPeerFailed.New("host %s has no room for the sealed idempotency table of host %s; forward resends of its keys to the next host that holds the table", p.host.Name(), r.Host)
 	}
 	return &inner.SealReply{}, nil
 }
