--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -52,8 +52,8 @@
 // holds the time that remains, which is less for the retry on a second target.
 func TestTimeLeftIsSent(t *testing.T) {
 	withFleet(t, 2, 3, func(f *fleet) {
-		const lateAnswer = 200 * time.Millisecond
-		f.targets["t0"].Update(func(t *standin.Target) { t.DropResponses, t.RunDuration = true, lateAnswer })
+		const responseDelay = 200 * time.Millisecond
+		f.targets["t0"].Update(func(t *standin.Target) { t.DropResponses, t.RunDuration = true, responseDelay })
 		secondTargets := 0
 		for i := range 30 {
 			id := fmt.Sprintf("l%d", i)
@@ -68,7 +68,7 @@
 						f.is.True(limit > 0 && limit <= time.Second)
 						if second && t.Name != "t0" {
 							secondTargets++
-							f.is.True(limit <= time.Second-lateAnswer)
+							f.is.True(limit <= time.Second-responseDelay)
 						}
 					}
 				})
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -23,8 +23,8 @@
 	placement.OutcomeCanceled: "Abandoned", placement.OutcomeOtherServer: "OtherTargetAtAddress",
 }
 
-// result is how a run on a target ended; response is nil unless the target sent one.
-type result struct {
+// runResult is how a run on a target ended; response is nil unless the target sent one.
+type runResult struct {
 	outcome  placement.Outcome
 	response *callerResponse
 	load     *placement.LoadReport
@@ -34,7 +34,7 @@
 }
 
 // notRun reports whether the target certainly did not run the request.
-func (r *result) notRun() bool {
+func (r *runResult) notRun() bool {
 	switch r.outcome {
 	case placement.OutcomeNotRun, placement.OutcomeUnreachable, placement.OutcomeOtherServer:
 		return true
@@ -43,31 +43,31 @@
 }
 
 // runOn sends the request to one target and reports the end of the run to the home that placed it.
-func (x *exchange) runOn(ctx context.Context, from placer, p placement.Placed) *result {
+func (x *exchange) runOn(ctx context.Context, from placer, p placement.Placed) *runResult {
 	started := x.gateway.now()
 	r := x.roundTrip(ctx, p)
 	if r.took == 0 {
 		r.took = x.gateway.now() - started
 	}
 	x.gateway.stats.attempts.Add(1)
-	done := placement.RunEnd{Target: p.Target, Outcome: r.outcome, Duration: r.took, Load: r.load}
+	end := placement.RunEnd{Target: p.Target, Outcome: r.outcome, Duration: r.took, Load: r.load}
 	if r.response != nil {
-		done.Bytes = len(r.response.body)
+		end.Bytes = len(r.response.body)
 	}
-	from.endRun(x.pending, done)
+	from.endRun(x.pending, end)
 	return r
 }
 
 // roundTrip sends the request to one target and reads the response.
-func (x *exchange) roundTrip(ctx context.Context, p placement.Placed) *result {
+func (x *exchange) roundTrip(ctx context.Context, p placement.Placed) *runResult {
 	g := x.gateway
 	started := g.now()
 	pool := g.pools.get(p.Target, p.Address)
 	response, err := pool.Do(x.targetRequest(ctx, p), backend.Options{RecentlyUsed: !x.repeatable()})
 	if err != nil {
-		return &result{outcome: x.outcomeOfError(ctx, err)}
+		return &runResult{outcome: x.outcomeOfError(ctx, err)}
 	}
-	r := &result{load: g.parseLoad(response.Header), took: g.now() - started}
+	r := &runResult{load: g.parseLoad(response.Header), took: g.now() - started}
 	if response.Header.Get(g.dialect.NotRunHeader) != "" || response.StatusCode == http.StatusMisdirectedRequest {
 		r.outcome = placement.OutcomeNotRun
 		if response.StatusCode == http.StatusMisdirectedRequest {
@@ -134,7 +134,7 @@
 // readResponse reads a response whole, or its beginning when it exceeds maxBufferedResponse. A success, or a status
 // that implies that the request was not run, counts as a broken connection unless the seal header proves that the
 // target itself sent it.
-func (x *exchange) readResponse(ctx context.Context, r *result, response *http.Response) *result {
+func (x *exchange) readResponse(ctx context.Context, r *runResult, response *http.Response) *runResult {
 	sealed := response.Header.Get(x.gateway.dialect.SealHeader) != ""
 	if !sealed && (response.StatusCode < http.StatusMultipleChoices || impliesNotRun(response.StatusCode)) {
 		_ = response.Body.Close()
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -42,8 +42,8 @@
 	accepted, responded int
 	// closing is set once no further request is accepted.
 	closing bool
-	// lastTurn is closed when the last accepted request has been answered.
-	lastTurn chan struct{}
+	// lastDone is closed when the last accepted request has been answered.
+	lastDone chan struct{}
 	// pipelineSlots holds one item for each request that is being handled.
 	pipelineSlots chan struct{}
 }
@@ -67,13 +67,13 @@
 }
 
 func newCallerConn(g *Gateway, conn net.Conn) *callerConn {
-	c := &callerConn{gateway: g, conn: &limitedConn{Conn: conn}, lastTurn: make(chan struct{}), pipelineSlots: make(chan struct{}, maxPipelined)}
+	c := &callerConn{gateway: g, conn: &limitedConn{Conn: conn}, lastDone: make(chan struct{}), pipelineSlots: make(chan struct{}, maxPipelined)}
 	c.reader = newReader(c.conn)
 	c.ctx, c.cancel = context.WithCancel(g.background)
 	if host, _, err := net.SplitHostPort(conn.RemoteAddr().String()); err == nil {
 		c.address = host
 	}
-	close(c.lastTurn)
+	close(c.lastDone)
 	return c
 }
 
@@ -103,9 +103,9 @@
 // awaitHandlers waits for the requests that are being handled and closes the connection. If the caller disconnects
 // meanwhile, its repeatable requests are cancelled.
 func (c *callerConn) awaitHandlers(handlers *sync.WaitGroup) {
-	callerLeft := make(chan struct{})
+	readEnded := make(chan struct{})
 	go func() {
-		defer close(callerLeft)
+		defer close(readEnded)
 		if _, err := io.Copy(io.Discard, c.conn.Conn); err == nil {
 			c.cancel()
 		}
@@ -113,7 +113,7 @@
 	handlers.Wait()
 	c.cancel()
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
-	<-callerLeft
+	<-readEnded
 	c.lingeringClose()
 }
 
@@ -139,8 +139,8 @@
 	}
 	c.accepted++
 	c.closing = closeAfter
-	done, previous = make(chan struct{}), c.lastTurn
-	c.lastTurn = done
+	done, previous = make(chan struct{}), c.lastDone
+	c.lastDone = done
 	return done, previous, true
 }
 
@@ -214,7 +214,7 @@
 func (c *callerConn) reject(rejected *rejection) {
 	if rejected == nil {
 		// The caller has disconnected, or was idle for too long.
-		if c.callerLeft() {
+		if c.callerDisconnected() {
 			c.cancel()
 		}
 		return
@@ -230,8 +230,8 @@
 	c.gateway.stats.rejected.Add(1)
 }
 
-// callerLeft reports whether reading ended because the caller disconnected, not because the connection is closing.
-func (c *callerConn) callerLeft() bool {
+// callerDisconnected reports whether reading ended because the caller disconnected, not because the connection is closing.
+func (c *callerConn) callerDisconnected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closing
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -120,7 +120,7 @@
 }
 
 // handleResult returns the response for the caller after a run, or nil to try another target.
-func (x *exchange) handleResult(ctx context.Context, r *result) *callerResponse {
+func (x *exchange) handleResult(ctx context.Context, r *runResult) *callerResponse {
 	switch r.outcome {
 	case placement.OutcomeAnswered:
 		return r.response
@@ -259,10 +259,10 @@
 
 // runWithHedge runs the request on a target, and on a second one when the home sends a hedge. The first response ends
 // the other run.
-func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *result {
-	runs := hedgedRuns{exchange: x, results: make(chan *result, 2)}
+func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *runResult {
+	runs := hedgedRuns{exchange: x, results: make(chan *runResult, 2)}
 	runs.start(ctx, x.placer, placed)
-	var best *result
+	var best *runResult
 	for {
 		select {
 		case r := <-runs.results:
@@ -287,7 +287,7 @@
 // hedgedRuns are the concurrent runs of one placement: the first one and its hedge.
 type hedgedRuns struct {
 	exchange *exchange
-	results  chan *result
+	results  chan *runResult
 	cancels  []context.CancelFunc
 	// active counts the runs that have not ended.
 	active int
@@ -308,7 +308,7 @@
 }
 
 // cancelOthers cancels all runs but the one whose response is used.
-func (h *hedgedRuns) cancelOthers(kept *result) {
+func (h *hedgedRuns) cancelOthers(kept *runResult) {
 	for index, cancel := range h.cancels {
 		if index != kept.index {
 			cancel()
@@ -330,7 +330,7 @@
 
 // moreConclusive returns the result that decides what the caller gets: a response first, then a run that may have
 // reached the target, then one that certainly did not. The result b may be nil.
-func moreConclusive(a, b *result) *result {
+func moreConclusive(a, b *runResult) *runResult {
 	if b == nil || a.outcome == placement.OutcomeAnswered || a.outcome == placement.OutcomeFailed {
 		return a
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -71,13 +71,13 @@
 		response, err := transport.RoundTrip(r)
 		f.is.NoErr(err)
 		defer response.Body.Close()
-		var answer struct {
+		var directoryResponse struct {
 			Addresses []string `json:"addresses"`
 			TTL       float64  `json:"ttl-s"`
 		}
-		f.is.NoErr(json.NewDecoder(response.Body).Decode(&answer))
-		f.is.Equal(len(answer.Addresses), 3)
-		f.is.Equal(answer.TTL, 1.0)
+		f.is.NoErr(json.NewDecoder(response.Body).Decode(&directoryResponse))
+		f.is.Equal(len(directoryResponse.Addresses), 3)
+		f.is.Equal(directoryResponse.TTL, 1.0)
 	})
 }
 
@@ -152,26 +152,26 @@
 	}
 }
 
-// TestRepeatsStayWithinBudget lets every target refuse requests without running them: no request is sent to more
+// TestRetriesStayWithinBudget lets every target refuse requests without running them: no request is sent to more
 // targets than its rule allows, and the retries of all hosts together stay within the service's retry budget.
-func TestRepeatsStayWithinBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	withFleet(t, 4, 6, func(f *fleet) {
 		for _, x := range f.targets {
 			x.Update(func(t *standin.Target) { t.RefuseRuns = true })
 		}
 		const requests = 200
-		repeats := 0
+		retries := 0
 		for i := range requests {
 			id := fmt.Sprintf("r%d", i)
 			f.is.Equal(f.call(fmt.Sprintf("h%d", i%4), http.MethodGet, "/lookup/1", id).status, 503)
 			arrivals := f.arrivalsOf(id)
 			f.is.True(arrivals <= 2)
-			repeats += max(0, arrivals-1)
+			retries += max(0, arrivals-1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Logf("%d repeats for %d requests", repeats, requests)
-		f.is.True(float64(repeats) <= 0.2*requests+20)
-		f.is.True(repeats > 0)
+		t.Logf("%d repeats for %d requests", retries, requests)
+		f.is.True(float64(retries) <= 0.2*requests+20)
+		f.is.True(retries > 0)
 	})
 }
 
@@ -214,10 +214,10 @@
 				others = append(others, m.Name)
 			}
 		}
-		isolated, neighbour := others[0], others[1]
+		isolated, reachablePeer := others[0], others[1]
 		f.net.Partition(isolated, "store")
 		for _, m := range members {
-			if m.Name != isolated && m.Name != neighbour {
+			if m.Name != isolated && m.Name != reachablePeer {
 				f.net.Partition(isolated, m.Name)
 			}
 		}
@@ -321,8 +321,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			withFleet(t, 4, 4, func(f *fleet) {
-				home, caller := f.home(), f.notHome()
-				f.call(caller, http.MethodGet, "/lookup/1", "before")
+				home, entryHost := f.home(), f.notHome()
+				f.call(entryHost, http.MethodGet, "/lookup/1", "before")
 				var slowest time.Duration
 				var mu sync.Mutex
 				var group sync.WaitGroup
@@ -331,7 +331,7 @@
 						c.isolate(f, home)
 					}
 					group.Go(func() {
-						r := f.call(caller, http.MethodGet, "/lookup/1", fmt.Sprintf("k%d", i))
+						r := f.call(entryHost, http.MethodGet, "/lookup/1", fmt.Sprintf("k%d", i))
 						f.is.NoErr(r.err)
 						f.is.Equal(r.status, 200)
 						mu.Lock()
@@ -348,8 +348,8 @@
 	}
 }
 
-// TestGracefulStopCutsNothing stops each host in turn while requests are sent to it: all of them succeed.
-func TestGracefulStopCutsNothing(t *testing.T) {
+// TestGracefulStopInterruptsNoRequest stops each host in turn while requests are sent to it: all of them succeed.
+func TestGracefulStopInterruptsNoRequest(t *testing.T) {
 	withFleet(t, 3, 3, func(f *fleet) {
 		f.targets["t0"].Update(func(t *standin.Target) { t.RunDuration = 300 * time.Millisecond })
 		for name := range f.hosts {
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -94,15 +94,15 @@
 	s.mu.Lock()
 	delete(s.sessions, sess.id)
 	s.mu.Unlock()
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		h.home.EndStream(s.gateway.now(), sess.id)
 		h.mu.Unlock()
 	}
 }
 
-// all returns the placement states of all services, in no particular order.
-func (s *homeServer) all() []*serviceHome {
+// serviceHomes returns the placement states of all services, in no particular order.
+func (s *homeServer) serviceHomes() []*serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*serviceHome, 0, len(s.services))
@@ -112,8 +112,8 @@
 	return list
 }
 
-// get returns the placement state of a service, creating it with the targets in the roster.
-func (s *homeServer) get(service string) *serviceHome {
+// serviceHome returns the placement state of a service, creating it with the targets in the roster.
+func (s *homeServer) serviceHome(service string) *serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.services[service]
@@ -158,7 +158,7 @@
 
 // applyView passes changed targets to the placement state of every service.
 func (s *homeServer) applyView(v *roster.View) {
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		h.applyView(v)
 		h.mu.Unlock()
@@ -180,7 +180,7 @@
 
 // place asks the service's placement state for a target. Verdicts follow through sendVerdict.
 func (s *homeServer) place(service string, r *placement.Request) {
-	h := s.get(service)
+	h := s.serviceHome(service)
 	ranked := s.gateway.homeClient.rankedHomes(service)
 	primary := len(ranked) > 0 && ranked[0].Name == s.gateway.settings.Host.Name
 	h.mu.Lock()
@@ -201,25 +201,25 @@
 }
 
 // runEnded frees the slot of a run of a service and records its outcome.
-func (s *homeServer) runEnded(service string, d placement.RunEnd) {
-	h := s.get(service)
+func (s *homeServer) runEnded(service string, end placement.RunEnd) {
+	h := s.serviceHome(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.home.RunEnded(s.gateway.now(), d)
+	h.home.RunEnded(s.gateway.now(), end)
 }
 
 // runEndedAnyService frees the slot of a run whose service is unknown, by trying every service.
-func (s *homeServer) runEndedAnyService(d placement.RunEnd) {
-	for _, h := range s.all() {
+func (s *homeServer) runEndedAnyService(end placement.RunEnd) {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
-		h.home.RunEnded(s.gateway.now(), d)
+		h.home.RunEnded(s.gateway.now(), end)
 		h.mu.Unlock()
 	}
 }
 
 // withdraw removes a request from the service's queue.
 func (s *homeServer) withdraw(service string, id placement.RequestID) {
-	h := s.get(service)
+	h := s.serviceHome(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.home.CancelQueued(id)
@@ -258,7 +258,7 @@
 			duty.Sleep(ctx, wait)
 		}
 		wait = idleTickInterval
-		for _, h := range g.homeServer.all() {
+		for _, h := range g.homeServer.serviceHomes() {
 			h.mu.Lock()
 			if h.home.Tick(g.now()) {
 				wait = tickInterval
@@ -277,7 +277,7 @@
 // from an unreachable home.
 func (s *homeServer) sendKeepAlives() {
 	waiting := map[uint64]bool{}
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		h.home.AddQueuedStreams(waiting)
 		h.mu.Unlock()
@@ -294,7 +294,7 @@
 // queuedByService returns the number of requests queued on this host, by service.
 func (s *homeServer) queuedByService() map[string]int {
 	counts := map[string]int{}
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		counts[h.service] = h.home.QueueLength()
 		h.mu.Unlock()
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -50,7 +50,7 @@
 	// place asks for a target; verdicts follow as events of the pending request.
 	place(p *pendingRequest, r *placement.Request)
 	// endRun reports the end of a run, which frees its slot on the target.
-	endRun(p *pendingRequest, d placement.RunEnd)
+	endRun(p *pendingRequest, end placement.RunEnd)
 	// withdraw takes back a call of place that has no verdict yet.
 	withdraw(p *pendingRequest)
 	// verdictReceived must be called once a call of place has its final verdict, unless withdraw was called.
@@ -240,8 +240,8 @@
 	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, Ask: inner.EncodePlaceAsk(h.client.gateway.now(), r)})
 }
 
-func (h *remoteHome) endRun(p *pendingRequest, d placement.RunEnd) {
-	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, End: inner.EncodeRunEnd(d)})
+func (h *remoteHome) endRun(p *pendingRequest, end placement.RunEnd) {
+	h.queueCall(&inner.PlaceCall{Number: p.number, Service: p.service, End: inner.EncodeRunEnd(end)})
 }
 
 func (h *remoteHome) verdictReceived() { h.waiting.Add(-1) }
@@ -348,9 +348,9 @@
 	h.client.gateway.homeServer.place(p.service, r)
 }
 
-func (h *localHome) endRun(p *pendingRequest, d placement.RunEnd) {
-	d.ID = h.id(p.number)
-	h.client.gateway.homeServer.runEnded(p.service, d)
+func (h *localHome) endRun(p *pendingRequest, end placement.RunEnd) {
+	end.ID = h.id(p.number)
+	h.client.gateway.homeServer.runEnded(p.service, end)
 }
 
 // verdictReceived implements placer; it has nothing to count because a local home cannot become unreachable.
