--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,8 +11,8 @@
 	"briarcroft/internal/placement"
 )
 
-// maxBufferedResponse is the size in bytes up to which a response is read whole before any of it is sent to the
-// caller, so that a truncated response can still be replaced by a retry.
+// maxBufferedResponse is the size in bytes below which a response is read completely before any of it is sent to the
+// caller, so that the request can still be retried if the response is truncated.
 const maxBufferedResponse = 1 << 20
 
 // callerResponse is the response to a caller.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -23,12 +23,14 @@
 	placement.OutcomeCanceled: "Abandoned", placement.OutcomeOtherServer: "OtherTargetAtAddress",
 }
 
-// runResult is how a run on a target ended; response is nil unless the target sent one.
+// runResult is how a run on a target ended.
 type runResult struct {
-	outcome  placement.Outcome
+	outcome placement.Outcome
+	// response is what the caller may get; it is nil unless the outcome is OutcomeAnswered or OutcomeFailed.
 	response *callerResponse
 	load     *placement.LoadReport
-	took     time.Duration
+	// took is the time until the response header arrived, or until the run ended without one.
+	took time.Duration
 	// index is the position of the run among its hedgedRuns.
 	index int
 }
@@ -131,7 +133,7 @@
 	return false
 }
 
-// readResponse reads a response whole, or its beginning when it exceeds maxBufferedResponse. A success, or a status
+// readResponse reads a response completely, or its beginning when it reaches maxBufferedResponse. A success, or a status
 // that implies that the request was not run, counts as a broken connection unless the seal header proves that the
 // target itself sent it.
 func (x *exchange) readResponse(ctx context.Context, r *runResult, response *http.Response) *runResult {
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -12,14 +12,14 @@
 
 // Limits of the connections of callers.
 const (
-	// callerReadBytes and callerWriteBytes are the sizes of the buffers of a connection.
+	// callerReadBytes and callerWriteBytes are the sizes in bytes of the buffers of a connection.
 	callerReadBytes  = 4 << 10
 	callerWriteBytes = 8 << 10
-	// maxPipelined is how many pipelined requests of one connection are handled at once.
+	// maxPipelined is how many requests of one connection are handled or wait for their turn to be answered at once.
 	maxPipelined = 16
 	// lingerTime is how long a closing connection is still read, so that a reset does not destroy its last response.
 	lingerTime = 500 * time.Millisecond
-	// stallTimeout is how long a write of a response to a caller may block.
+	// stallTimeout is how long one write of a part of a response to a caller may block.
 	stallTimeout = 10 * time.Second
 	// busyReadTimeout bounds the wait for the next request while an earlier one is being handled.
 	busyReadTimeout = 10 * time.Minute
@@ -34,7 +34,7 @@
 	conn    *limitedConn
 	reader  *bufio.Reader
 	address string
-	// ctx ends when the caller has disconnected.
+	// ctx ends when the caller has disconnected or the last request has been answered.
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex
@@ -230,7 +230,8 @@
 	c.gateway.stats.rejected.Add(1)
 }
 
-// callerDisconnected reports whether reading ended because the caller disconnected, not because the connection is closing.
+// callerDisconnected reports whether reading ended because the caller disconnected or was idle for too long, not because
+// this host is closing the connection.
 func (c *callerConn) callerDisconnected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -13,6 +13,7 @@
 // Time limits of an exchange.
 const (
 	// firstVerdictTimeout is how long a home may take to place, queue or refuse a request before the next home is asked.
+	// Once the home has queued the request, it is waited for until the deadline or the end of its stream.
 	firstVerdictTimeout = 60 * time.Millisecond
 	// noConfigurationRetryAfter is the Retry-After time of a host that has no configuration yet.
 	noConfigurationRetryAfter = 500 * time.Millisecond
@@ -34,7 +35,7 @@
 	goal     time.Duration
 	deadline time.Duration
 	pending  *pendingRequest
-	// placer is the home that was asked last.
+	// placer is the home that was asked last; it is nil before the first call.
 	placer placer
 	// tried names the targets that the request was sent to.
 	tried []string
@@ -42,12 +43,15 @@
 	mayHaveRun bool
 	// targetFailure is the last 5xx response of a target; the caller gets it when no other attempt succeeds.
 	targetFailure *callerResponse
-	noteNumber    int
-	ruleFound     bool
-	// homesAsked counts the calls to homes and hedges the second runs; queued is set if a home queued the request.
+	// noteNumber is the number of the note (configuration revision) that was in force at the start; 0 means none.
+	noteNumber int
+	ruleFound  bool
+	// homesAsked counts the calls of placer.place, and hedges the runs that hedges have started; queued is set if a home
+	// has queued the request.
 	homesAsked, hedges int
 	queued             bool
-	lastOutcome        string
+	// lastOutcome is the outcome of the last run or the reason of a refusal, for the request log.
+	lastOutcome string
 	// verdict is the last verdict that placed or refused the request.
 	verdict placement.Verdict
 	// cancel ends the context of the runs. A response that is still being read from a target needs it until it is sent.
@@ -139,7 +143,7 @@
 	return x.failedResponse(ctx)
 }
 
-// refusedRetryAfter is the Retry-After time when no home names one, such as after every target tried has refused.
+// refusedRetryAfter is the Retry-After time of refusals that no home decided, such as when all targets tried have refused.
 const refusedRetryAfter = 200 * time.Millisecond
 
 // mayRetry reports whether the remaining time and the rule's limit of attempts allow another target.
@@ -150,8 +154,8 @@
 	return x.rule.Attempts == 0 || len(x.tried) < x.rule.Attempts
 }
 
-// refuse returns the response when the request will not be sent to a target again. It claims that the request was not
-// run only if that is certain.
+// refuse returns the response when the request will not be sent to a target again: a refusal, which states that the
+// request was not run, only if no target may have run it.
 func (x *exchange) refuse(r placement.Refused) *callerResponse {
 	x.lastOutcome = string(r.Reason)
 	if x.targetFailure != nil {
@@ -176,7 +180,7 @@
 	return localResponse(http.StatusBadGateway, "AnswerLost", 0)
 }
 
-// notPlacedInTime returns the response when the deadline passed before a target was found.
+// notPlacedInTime returns the response when the deadline passed or the caller disconnected before a target was found.
 func (x *exchange) notPlacedInTime(ctx context.Context) *callerResponse {
 	if x.mayHaveRun || x.targetFailure != nil {
 		return x.failedResponse(ctx)
@@ -215,8 +219,8 @@
 	}
 }
 
-// awaitVerdict waits until a home has placed or refused the request. The verdict is nil when the home does not answer
-// or when the context ended, which timedOut tells apart.
+// awaitVerdict waits until a home has placed or refused the request. The verdict is nil if the home sent none within
+// firstVerdictTimeout or its stream ended, and also if the context ended; timedOut is true only in the last case.
 func (x *exchange) awaitVerdict(ctx context.Context, p placer) (v placement.Verdict, timedOut bool) {
 	timer := time.NewTimer(firstVerdictTimeout)
 	defer timer.Stop()
@@ -257,8 +261,8 @@
 	}
 }
 
-// runWithHedge runs the request on a target, and on a second one when the home sends a hedge. The first response ends
-// the other run.
+// runWithHedge runs the request on a target, and on a second one when the home sends a hedge. The first run with outcome
+// OutcomeAnswered cancels the other one; after a 5xx response or another failure the other run is waited for.
 func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *runResult {
 	runs := hedgedRuns{exchange: x, results: make(chan *runResult, 2)}
 	runs.start(ctx, x.placer, placed)
@@ -284,7 +288,7 @@
 	}
 }
 
-// hedgedRuns are the concurrent runs of one placement: the first one and its hedge.
+// hedgedRuns are the concurrent runs after one placement: the run on the target of the Placed verdict and that of a hedge.
 type hedgedRuns struct {
 	exchange *exchange
 	results  chan *runResult
@@ -307,7 +311,7 @@
 	}()
 }
 
-// cancelOthers cancels all runs but the one whose response is used.
+// cancelOthers cancels all runs but the one whose result is used.
 func (h *hedgedRuns) cancelOthers(kept *runResult) {
 	for index, cancel := range h.cancels {
 		if index != kept.index {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -33,7 +33,7 @@
 	targets map[string]*standin.Target
 	servers []*http.Server
 	running sync.WaitGroup
-	// cleanups close the connections of gateways.
+	// cleanups close the connections of gateways and of their stores.
 	cleanups    []func()
 	lastAddress int
 }
@@ -163,7 +163,7 @@
 	f.net.Crash(name)
 	n.force()
 	<-n.done
-	n.done <- nil
+	n.done <- nil // for close, which receives from it again
 }
 
 // addTarget starts a backend server and registers it.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -6,6 +6,9 @@
 // service; its decision about a request is a verdict. Every entry host can be a home, and one that reaches no home
 // places its requests itself. Hosts find each other by heartbeats and replicate the platform's store, which holds the
 // configuration and the registered targets. A revision of the configuration is called a note.
+//
+// This entry host is the one for the users' platform (Platform.Kind = Native); package entry implements the one for an
+// etcd store (Platform.Kind = Etcd).
 package gateway
 
 import (
@@ -44,7 +47,8 @@
 // maxRecords is the number of change records that are kept for the operator's explain page.
 const maxRecords = 256
 
-// heartbeatsPerDomain is how many peers of this host's failure domain get each heartbeat; of other domains one peer does.
+// heartbeatsPerDomain is how many peers of this host's failure domain get each round of heartbeats. Of each
+// other domain one peer does.
 const heartbeatsPerDomain = 2
 
 // Dialect holds the header fields, paths and formats that a platform uses between callers, entry hosts, backend
@@ -98,7 +102,7 @@
 type Gateway struct {
 	config   Config
 	settings settings.Settings
-	// reloadable holds the newest settings, of which only some take effect without a restart.
+	// reloadable holds the newest settings; see Reload for those that are read from it.
 	reloadable atomic.Pointer[settings.Settings]
 	dialect    Dialect
 	start      time.Time
@@ -108,7 +112,7 @@
 	requestLog  *requestLog
 	// records are the change records for operators.
 	records *record.Log
-	// chain is the sequence of notes that were in force.
+	// chain is the sequence of notes (configuration revisions) that have been in force.
 	chain *note.Chain
 	// roster is this host's replica of the store.
 	roster     *roster.Roster
@@ -197,7 +201,9 @@
 // Inner returns the address on which the host listens for peers.
 func (g *Gateway) Inner() string { return g.settings.Host.Inner }
 
-// Reload applies new settings. Changed settings of the host or the platform take effect only after a restart.
+// Reload applies Peers.Seeds, Retries.Slack, Limits.AddressMaxAge and Limits.StopTimeout of new settings. Retries.Ratio
+// and Retries.Window apply only to services for which this host has not placed a request yet. All other settings take
+// effect only after a restart.
 func (g *Gateway) Reload(s settings.Settings) {
 	g.reloadable.Store(&s)
 	g.members.SetSeeds(s.Peers.Seeds)
@@ -222,7 +228,7 @@
 	g.updateReady()
 }
 
-// applyConfiguration appends a newer configuration to the chain of notes; the note describes the differences.
+// applyConfiguration appends a newer configuration to the chain, as a note that describes the differences.
 func (g *Gateway) applyConfiguration(c note.Configuration) {
 	_, _, old := g.chain.Head()
 	if c.Number <= old.Number {
@@ -266,7 +272,8 @@
 	g.targetStates = states
 }
 
-// updateReady marks this host as ready if it has a configuration and is not stopping, and tells its peers of a change.
+// updateReady marks this host as ready if it has a configuration and is not stopping, and sends peers a heartbeat at
+// once if that has changed.
 func (g *Gateway) updateReady() {
 	ready := g.chain.Number() > 0 && !g.stopping.Load()
 	if ready != g.members.Self().Ready {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestRoutes checks that a request gets status 404 if no rule matches it.
+// TestRoutes checks that a request gets status 404 if no rule matches it, and is served otherwise.
 func TestRoutes(t *testing.T) {
 	withFleet(t, 1, 1, func(f *fleet) {
 		f.is.Equal(f.call("h0", http.MethodGet, "/nowhere/1", "a").status, 404)
@@ -169,7 +169,7 @@
 			retries += max(0, arrivals-1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Logf("%d repeats for %d requests", retries, requests)
+		t.Logf("%d retries for %d requests", retries, requests)
 		f.is.True(float64(retries) <= 0.2*requests+20)
 		f.is.True(retries > 0)
 	})
@@ -341,7 +341,7 @@
 					time.Sleep(25 * time.Millisecond)
 				}
 				group.Wait()
-				t.Logf("slowest answer %v", slowest)
+				t.Logf("slowest response %v", slowest)
 				f.is.True(slowest < 400*time.Millisecond) // the latency goal of the rule
 			})
 		})
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -21,7 +21,7 @@
 	tickInterval = 10 * time.Millisecond
 	// idleTickInterval is the time between two runs of the placement timers while no service has requests.
 	idleTickInterval = 100 * time.Millisecond
-	// keepAliveInterval is how often a home sends a keep-alive message to hosts whose requests it has queued.
+	// keepAliveInterval is how often a home sends a keep-alive message to each host whose requests it has queued.
 	keepAliveInterval = 150 * time.Millisecond
 )
 
@@ -32,7 +32,8 @@
 	primarySlackShare = 0.4
 	// fallbackSlackShare is the share of the slack that all fallback homes divide among them.
 	fallbackSlackShare = 0.4
-	// retryRatioShare leaves room for extra attempts that were granted by a home that has just been replaced.
+	// retryRatioShare is the share of the ratio that a home may grant. The rest leaves room for extra attempts that were
+	// granted by a home that has just been replaced.
 	retryRatioShare = 0.9
 )
 
@@ -129,7 +130,7 @@
 	return h
 }
 
-// recordEjection writes a change record for a target that was ejected after failures or has returned.
+// recordEjection writes a change record for a target that was ejected after failures or whose ejection has ended.
 func (s *homeServer) recordEjection(service string, e placement.Ejection) {
 	g := s.gateway
 	r := record.Record{Kind: record.TargetMoved, Service: service, Target: e.Target, From: route.Live.String(), To: route.Ejected.String(), Cause: string(route.CauseFailures), Note: g.chain.Number()}
@@ -140,7 +141,7 @@
 	g.records.Add(r)
 }
 
-// retryBudget returns the part of the service's retry budget that this host may grant.
+// retryBudget returns the ratio of extra attempts to requests that this host may grant for a service, without slack.
 func (s *homeServer) retryBudget() placement.RetryBudget {
 	r := s.gateway.reloadable.Load().Retries
 	return placement.RetryBudget{Ratio: retryRatioShare * r.Ratio, Window: r.Window}
@@ -189,7 +190,7 @@
 	h.home.SetRetrySlack(s.retrySlack(primary, len(ranked)))
 	h.home.Submit(s.gateway.now(), r)
 	h.sendProbes()
-	// Queued requests are placed and expired by the timers.
+	// The timers must run while the service has requests: they start hedges and refuse queued requests that are too late.
 	s.requestArrived.Push(struct{}{})
 }
 
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -16,13 +16,14 @@
 const (
 	// homeSilenceTimeout is how long a home may send nothing while requests wait for it: three keep-alive intervals.
 	homeSilenceTimeout = 3 * keepAliveInterval
-	// idleSendWait is how long send waits for a call before it checks a stream on which no request waits.
+	// idleSendWait is how long send waits for the next call while no request waits for the home. After that it checks
+	// again whether one does.
 	idleSendWait = time.Minute
-	// suspectTime is how long a home that did not answer is not asked again.
+	// suspectTime is how long a home that did not answer, or whose stream ended, is not asked again.
 	suspectTime = 500 * time.Millisecond
 	// placeCallQueueSize is the number of calls that may be queued for a home that reads slowly.
 	placeCallQueueSize = 1024
-	// maxRemoteHomes is how many other hosts are asked before this host places the request itself.
+	// maxRemoteHomes is how many other hosts are asked at most before this host places the request itself.
 	maxRemoteHomes = 2
 	// rankCacheTime is how long the ranking of a service's homes is cached.
 	rankCacheTime = 50 * time.Millisecond
@@ -47,13 +48,13 @@
 type placer interface {
 	// name returns the name of the host that decides.
 	name() string
-	// place asks for a target; verdicts follow as events of the pending request.
+	// place requests a target; verdicts follow as events of the pending request.
 	place(p *pendingRequest, r *placement.Request)
 	// endRun reports the end of a run, which frees its slot on the target.
 	endRun(p *pendingRequest, end placement.RunEnd)
-	// withdraw takes back a call of place that has no verdict yet.
+	// withdraw takes back a call of place that has no final verdict (Placed or Refused) yet.
 	withdraw(p *pendingRequest)
-	// verdictReceived must be called once a call of place has its final verdict, unless withdraw was called.
+	// verdictReceived must be called once a call of place has its final verdict. It must not be called after withdraw.
 	verdictReceived()
 }
 
@@ -76,7 +77,7 @@
 	tasks  sync.WaitGroup
 }
 
-// cachedRank is the order in which hosts are home to a service, as computed at a time of Gateway.now.
+// cachedRank is the order in which hosts are asked to place requests of a service, as computed at a time of Gateway.now.
 type cachedRank struct {
 	at      time.Duration
 	members []host.Member
@@ -176,14 +177,15 @@
 	return append(list, c.local)
 }
 
-// suspect excludes a home from placers for suspectTime.
+// suspect excludes another host from placers for suspectTime.
 func (c *homeClient) suspect(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.suspects[name] = c.gateway.now() + suspectTime
 }
 
-// remote returns the stream to a home, opening it if necessary, or nil while the home is suspected.
+// remote returns the stream to a home, opening it if there is none to this incarnation of the host, or nil while the
+// home is suspected.
 func (c *homeClient) remote(now time.Duration, m host.Member) *remoteHome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -301,7 +303,8 @@
 	}
 }
 
-// receive delivers verdicts until the stream ends and releases the slots of those that nobody waits for any more.
+// receive delivers verdicts until the stream ends. It releases the slots that verdicts reserve for requests that are no
+// longer pending.
 func (h *remoteHome) receive(stream inner.DRPCPeer_PlaceClient) {
 	for {
 		message, err := stream.Recv()
@@ -370,7 +373,8 @@
 		return
 	}
 	h.client.tasks.Go(func() {
-		// The pending request is gone and with it the name of the service. The lock is held, hence the goroutine.
+		// Verdicts do not name the service, so all services are tried. This takes the lock that the caller holds,
+		// hence the goroutine.
 		h.client.gateway.homeServer.runEndedAnyService(placement.RunEnd{ID: h.id(number), Target: target, Outcome: placement.OutcomeCanceled})
 	})
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -58,7 +58,7 @@
 }
 
 // handleCalls handles the messages of a placement stream until it ends. The end of a run names no service when the
-// requesting host has dropped the request already.
+// verdict that started it could not be delivered on the requesting host.
 func (p *peerServer) handleCalls(ctx context.Context, stream inner.DRPCPeer_PlaceStream, sess *session) error {
 	homes := p.gateway.homeServer
 	for ctx.Err() == nil {
@@ -85,7 +85,7 @@
 const followerQueueSize = 64
 
 // storeUpdate is what followers are sent about the store: changes of entries, which complete their replica up to the
-// revision, and whether the store has returned from an outage.
+// revision, and whether an outage of the store has ended. An empty one is a keep-alive message.
 type storeUpdate struct {
 	changes  []platform.Change
 	revision int64
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -16,9 +16,11 @@
 // Time limits of the promises, from the requirements of the platform.
 const (
 	// callTimeLimit is the deadline of the rules; callTimeSlack is added for the network between caller and host.
-	callTimeLimit    = time.Second
-	callTimeSlack    = 100 * time.Millisecond
-	drainTimeLimit   = 2500 * time.Millisecond
+	callTimeLimit = time.Second
+	callTimeSlack = 100 * time.Millisecond
+	// drainTimeLimit is how long a target may still get new requests after it has registered as draining.
+	drainTimeLimit = 2500 * time.Millisecond
+	// inForceTimeLimit is how long a configuration may take to be in force on every host after it was written.
 	inForceTimeLimit = 2500 * time.Millisecond
 	// recoveryTime is how long after the last fault every host must serve the newest configuration again.
 	recoveryTime = 6 * time.Second
@@ -83,7 +85,8 @@
 	down map[string]bool
 	// restarts counts how often each host was killed or stopped, to tell its incarnations apart.
 	restarts map[string]int
-	// newestServed is the newest configuration that each incarnation of a host has served.
+	// newestServed is the newest configuration version that each incarnation of a host has served, by host and number of
+	// restarts.
 	newestServed map[string]int
 	// version is the newest configuration that was written.
 	version     int
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -121,7 +121,8 @@
 	return &rejection{status: http.StatusBadRequest, reason: "NotARequest"}
 }
 
-// readBody reads the whole body of a request within the limits and the memory budget.
+// readBody reads the whole body of a request within the limits and the memory budget. For a body of unknown length it
+// reserves KeyedBodyBytes first, and the rest once the body was read.
 func (c *callerConn) readBody(q *request, r *http.Request, limits note.Limits) (*request, *rejection) {
 	if r.ContentLength > int64(limits.BodyBytes) {
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "BodyTooLong"}
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -55,8 +55,8 @@
 }
 
 // choose returns the service for the next request of a rule. Each service's credit grows by its weight; the service
-// with the most credit is chosen and loses the sum of all weights. Even short runs of requests are divided by weight
-// in this way.
+// with the most credit is chosen and loses the sum of all weights. Even a short sequence of requests is divided by
+// weight in this way.
 func (s *trafficSplit) choose(r note.Rule) string {
 	if len(r.Shares) == 0 {
 		return r.Service
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -19,8 +19,9 @@
 )
 
 // stopGracefully marks this host as leaving and goes on serving callers that still use its address from an earlier
-// directory response, for up to addressAgeFactor times AddressMaxAge. Then it accepts no connections and waits for
-// the open ones to end, until StopTimeout or the end of force.
+// directory response, for up to addressAgeFactor times AddressMaxAge but at most half of the time limit, which is
+// StopTimeout minus stopMargin. Then it accepts no connections and waits for the open ones to end, until the time limit
+// or the end of force.
 func (g *Gateway) stopGracefully(force context.Context, closeListener func()) {
 	started := g.now()
 	g.stopping.Store(true)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -18,7 +18,7 @@
 // Times and counts of replicating the store. A few hosts, the watchers, follow the store itself; the others follow the
 // watchers, so that the number of calls to the store does not grow with the number of hosts.
 const (
-	// watchersPerDomain is the number of watchers in each failure domain.
+	// watchersPerDomain is the number of hosts in each failure domain that follow the store itself.
 	watchersPerDomain = 1
 	// watchTimeout is how long a call waits for changes of the store. A store that stops answering is noticed only
 	// after this time, and changes that were written meanwhile must be in force within 2 s.
@@ -28,7 +28,7 @@
 	// registerDelay is how long after its start a host first registers its address in the store. By then it knows its
 	// peers, and only watchers register.
 	registerDelay = 3 * time.Second
-	// firstRetryPause is the pause after the first of several failed calls in a row.
+	// firstRetryPause is the pause after the first failed call in a row.
 	firstRetryPause = 20 * time.Millisecond
 	// watchRetryPause is the pause after each further failed call. It is also how often the choice of watchers and of
 	// followed hosts is checked.
@@ -81,7 +81,7 @@
 }
 
 // isWatcher reports whether this host should follow the store itself: because it is one of the watchers, or because no
-// host is known to reach the store.
+// ready host is known to reach the store.
 func (g *Gateway) isWatcher() bool {
 	list := g.watchers()
 	return len(list) == 0 || slices.ContainsFunc(list, func(m host.Member) bool { return m.Name == g.settings.Host.Name })
@@ -177,7 +177,7 @@
 	g.markStoreReturned()
 	g.broadcastChanges(g.roster.Apply(g.now(), changes, next), next, false)
 	if len(changes) > 0 {
-		// Changes come in bursts, and each call that the store answers is charged for.
+		// Changes come in bursts, and the platform charges for each call that the store answers.
 		duty.Sleep(ctx, changeBatchDelay)
 	}
 	return next, nil
@@ -231,7 +231,8 @@
 	}
 }
 
-// runPeerFollowing is the background task that receives changes of the store from watchers while this host is not one.
+// runPeerFollowing is the background task that receives changes of the store from other hosts while this host does not
+// follow the store itself or cannot reach it.
 func (g *Gateway) runPeerFollowing(ctx context.Context) {
 	streams := map[string]context.CancelFunc{}
 	ended := make(chan string, maxFollowed)
@@ -253,8 +254,9 @@
 	}
 }
 
-// updateFollowed opens and closes streams so that the first maxFollowed update sources are followed. Names of streams
-// that have ended are sent to ended.
+// updateFollowed opens and closes streams so that the first maxFollowed other hosts of updateSources are followed while
+// this host does not follow the store itself, has not read it yet or cannot reach it, and none otherwise. Names of
+// streams that have ended are sent to ended.
 func (g *Gateway) updateFollowed(ctx context.Context, streams map[string]context.CancelFunc, ended chan<- string) {
 	wanted := map[string]bool{}
 	if !g.storeWatch.watching.Load() || !g.storeWatch.loaded.Load() || g.storeWatch.lost.Load() {
@@ -282,7 +284,8 @@
 	}
 }
 
-// updateSources returns the hosts to follow: the watchers, or all ready hosts while none of them reaches the store.
+// updateSources returns the hosts that may be followed: the watchers, or all ready hosts while none of them reaches the
+// store.
 func (g *Gateway) updateSources() []host.Member {
 	if list := g.watchers(); len(list) > 0 {
 		return list
@@ -322,7 +325,7 @@
 			g.applyUpdate(reply)
 		}
 	}
-	g.logger.Info().Str("Peer", m.Name).Int("Note", g.chain.Number()).Err(err).Msg("requested store entries from a peer that has a newer note")
+	g.logger.Info().Str("Peer", m.Name).Int("Note", g.chain.Number()).Err(err).Msg("asked a peer that is ahead")
 }
 
 // applyUpdate applies an update of the store from a peer and passes it on to this host's followers.
