--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -15,7 +15,8 @@
 	// callerReadBytes and callerWriteBytes are the sizes in bytes of the buffers of a connection.
 	callerReadBytes  = 4 << 10
 	callerWriteBytes = 8 << 10
-	// maxPipelined is how many requests of one connection are handled or wait for their turn to be answered at once.
+	// maxPipelined is how many requests of one connection are in progress at once, those included whose response waits
+	// until earlier requests have been answered.
 	maxPipelined = 16
 	// lingerTime is how long a closing connection is still read, so that a reset does not destroy its last response.
 	lingerTime = 500 * time.Millisecond
@@ -44,7 +45,7 @@
 	closing bool
 	// lastDone is closed when the last accepted request has been answered.
 	lastDone chan struct{}
-	// pipelineSlots holds one item for each request that is being handled.
+	// pipelineSlots holds one item for each request in progress, up to maxPipelined.
 	pipelineSlots chan struct{}
 }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -143,7 +143,8 @@
 	return x.failedResponse(ctx)
 }
 
-// refusedRetryAfter is the Retry-After time of refusals that no home decided, such as when all targets tried have refused.
+// refusedRetryAfter is the Retry-After time of refusals that no home decided, such as after all targets tried have
+// refused the request.
 const refusedRetryAfter = 200 * time.Millisecond
 
 // mayRetry reports whether the remaining time and the rule's limit of attempts allow another target.
@@ -288,7 +289,8 @@
 	}
 }
 
-// hedgedRuns are the concurrent runs after one placement: the run on the target of the Placed verdict and that of a hedge.
+// hedgedRuns are the concurrent runs after one placement: the one on the target of the Placed verdict and that of a
+// hedge.
 type hedgedRuns struct {
 	exchange *exchange
 	results  chan *runResult
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -67,7 +67,7 @@
 	pending    map[uint64]*pendingRequest
 	// remotes holds the streams by the name of the host at the other end.
 	remotes map[string]*remoteHome
-	// suspects holds the time until which a host is not asked, by its name.
+	// suspects holds, by the name of a host, the time until which it is not asked.
 	suspects map[string]time.Duration
 	// ranks is keyed by service.
 	ranks  map[string]cachedRank
@@ -220,7 +220,7 @@
 	cancel        context.CancelFunc
 	// lastReceived is the time of Gateway.now at which the home last sent anything, in nanoseconds.
 	lastReceived atomic.Int64
-	// waiting counts the requests without a final verdict.
+	// waiting counts the requests that wait for a final verdict of this home.
 	waiting atomic.Int64
 }
 
