--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -21,7 +21,7 @@
 	tickInterval = 10 * time.Millisecond
 	// idleTickInterval is the time between two runs of the placement timers while no service has requests.
 	idleTickInterval = 100 * time.Millisecond
-	// keepAliveInterval is how often a home sends a keep-alive message to hosts whose requests it has queued.
+	// keepAliveInterval is how often a home sends a keep-alive message to each host whose requests it has queued.
 	keepAliveInterval = 150 * time.Millisecond
 )
 
@@ -32,7 +32,8 @@
 	primarySlackShare = 0.4
 	// fallbackSlackShare is the share of the slack that all fallback homes divide among them.
 	fallbackSlackShare = 0.4
-	// retryRatioShare leaves room for extra attempts that were granted by a home that has just been replaced.
+	// retryRatioShare is the share of the ratio that a home may grant. The rest leaves room for extra attempts that were
+	// granted by a home that has just been replaced.
 	retryRatioShare = 0.9
 )
 
@@ -94,15 +95,15 @@
 	s.mu.Lock()
 	delete(s.sessions, sess.id)
 	s.mu.Unlock()
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		h.home.EndStream(s.gateway.now(), sess.id)
 		h.mu.Unlock()
 	}
 }
 
-// all returns the placement states of all services, in no particular order.
-func (s *homeServer) all() []*serviceHome {
+// serviceHomes returns the placement states of all services, in no particular order.
+func (s *homeServer) serviceHomes() []*serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*serviceHome, 0, len(s.services))
@@ -112,8 +113,8 @@
 	return list
 }
 
-// get returns the placement state of a service, creating it with the targets in the roster.
-func (s *homeServer) get(service string) *serviceHome {
+// serviceHome returns the placement state of a service, creating it with the targets in the roster.
+func (s *homeServer) serviceHome(service string) *serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.services[service]
@@ -129,7 +130,7 @@
 	return h
 }
 
-// recordEjection writes a change record for a target that was ejected after failures or has returned.
+// recordEjection writes a change record for a target that was ejected after failures or whose ejection has ended.
 func (s *homeServer) recordEjection(service string, e placement.Ejection) {
 	g := s.gateway
 	r := record.Record{Kind: record.TargetMoved, Service: service, Target: e.Target, From: route.Live.String(), To: route.Ejected.String(), Cause: string(route.CauseFailures), Note: g.chain.Number()}
@@ -140,7 +141,7 @@
 	g.records.Add(r)
 }
 
-// retryBudget returns the part of the service's retry budget that this host may grant.
+// retryBudget returns the ratio of extra attempts to requests that this host may grant for a service, without slack.
 func (s *homeServer) retryBudget() placement.RetryBudget {
 	r := s.gateway.reloadable.Load().Retries
 	return placement.RetryBudget{Ratio: retryRatioShare * r.Ratio, Window: r.Window}
@@ -158,7 +159,7 @@
 
 // applyView passes changed targets to the placement state of every service.
 func (s *homeServer) applyView(v *roster.View) {
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		h.applyView(v)
 		h.mu.Unlock()
@@ -180,7 +181,7 @@
 
 // place asks the service's placement state for a target. Verdicts follow through sendVerdict.
 func (s *homeServer) place(service string, r *placement.Request) {
-	h := s.get(service)
+	h := s.serviceHome(service)
 	ranked := s.gateway.homeClient.rankedHomes(service)
 	primary := len(ranked) > 0 && ranked[0].Name == s.gateway.settings.Host.Name
 	h.mu.Lock()
@@ -189,7 +190,7 @@
 	h.home.SetRetrySlack(s.retrySlack(primary, len(ranked)))
 	h.home.Submit(s.gateway.now(), r)
 	h.sendProbes()
-	// Queued requests are placed and expired by the timers.
+	// The timers must run while the service has requests: they start hedges and refuse queued requests that are too late.
 	s.requestArrived.Push(struct{}{})
 }
 
@@ -201,25 +202,25 @@
 }
 
 // runEnded frees the slot of a run of a service and records its outcome.
-func (s *homeServer) runEnded(service string, d placement.RunEnd) {
-	h := s.get(service)
+func (s *homeServer) runEnded(service string, end placement.RunEnd) {
+	h := s.serviceHome(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.home.RunEnded(s.gateway.now(), d)
+	h.home.RunEnded(s.gateway.now(), end)
 }
 
 // runEndedAnyService frees the slot of a run whose service is unknown, by trying every service.
-func (s *homeServer) runEndedAnyService(d placement.RunEnd) {
-	for _, h := range s.all() {
+func (s *homeServer) runEndedAnyService(end placement.RunEnd) {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
-		h.home.RunEnded(s.gateway.now(), d)
+		h.home.RunEnded(s.gateway.now(), end)
 		h.mu.Unlock()
 	}
 }
 
 // withdraw removes a request from the service's queue.
 func (s *homeServer) withdraw(service string, id placement.RequestID) {
-	h := s.get(service)
+	h := s.serviceHome(service)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.home.CancelQueued(id)
@@ -258,7 +259,7 @@
 			duty.Sleep(ctx, wait)
 		}
 		wait = idleTickInterval
-		for _, h := range g.homeServer.all() {
+		for _, h := range g.homeServer.serviceHomes() {
 			h.mu.Lock()
 			if h.home.Tick(g.now()) {
 				wait = tickInterval
@@ -277,7 +278,7 @@
 // from an unreachable home.
 func (s *homeServer) sendKeepAlives() {
 	waiting := map[uint64]bool{}
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		h.home.AddQueuedStreams(waiting)
 		h.mu.Unlock()
@@ -294,7 +295,7 @@
 // queuedByService returns the number of requests queued on this host, by service.
 func (s *homeServer) queuedByService() map[string]int {
 	counts := map[string]int{}
-	for _, h := range s.all() {
+	for _, h := range s.serviceHomes() {
 		h.mu.Lock()
 		counts[h.service] = h.home.QueueLength()
 		h.mu.Unlock()
