--- a/internal/meter/budget.go
+++ b/internal/meter/budget.go
@@ -36,11 +36,13 @@
 
 // Budget is the rate limiter that all measurements of a host share. It is safe for concurrent use.
 type Budget struct {
-	mu        sync.Mutex
-	config    BudgetConfig
-	probes    *rate.Limiter
-	bytes     *rate.Limiter
-	core      *rate.Limiter
+	mu     sync.Mutex
+	config BudgetConfig
+	probes *rate.Limiter
+	bytes  *rate.Limiter
+	// core limits processor time. Its tokens are nanoseconds.
+	core *rate.Limiter
+	// spent holds the costs by failure domain.
 	spent     map[string]*Spent
 	coreSpent time.Duration
 }
@@ -59,8 +61,9 @@
 	}
 }
 
-// Allow reports whether a measurement may be made now. If so, it takes the measurement's cost in bytes from the budget and
-// adds it to the costs of the failure domain.
+// Allow reports whether a measurement may be made now. If so, it takes the given bytes, and for ActivityProbe one
+// probe, from the budget and adds them to the costs of the failure domain. Otherwise it counts the measurement as
+// denied there.
 func (b *Budget) Allow(now time.Duration, activity Activity, domain string, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +87,8 @@
 	return true
 }
 
-// Charge takes processor time that measurements have used from the budget.
+// Charge deducts from the budget the processor time that measurements have used. It may use up future budget: Allow then
+// denies measurements until that time has passed.
 func (b *Budget) Charge(now, core time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/meter/histogram.go
+++ b/internal/meter/histogram.go
@@ -1,5 +1,5 @@
-// Package meter keeps latency histograms by service and request class, and the budget that limits what measurements such as
-// health probes may cost.
+// Package meter keeps latency histograms by service and request class, and the budget that limits what measurements
+// such as health probes may cost.
 package meter
 
 import (
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -20,7 +20,8 @@
 const (
 	// NoFault means that the server works normally.
 	NoFault FaultKind = iota
-	// Slow means that requests take slowFaultFactor times as long, while the pace that the server reports does not show it.
+	// Slow means that requests take slowFaultFactor times as long, while the pace that the server reports does not show
+	// it.
 	Slow
 	// Mute means that the server runs requests but sends no response to a share of them, muteFaultDropShare.
 	Mute
@@ -62,8 +63,8 @@
 	NoisyShare    float64
 	NoisyPace     float64
 	NoiseInterval time.Duration
-	// NearlyFullSlowdown multiplies the service time of a request that starts on a nearly full server, that is, one that has
-	// more than NearlyFullShare of its slots in use, this request included.
+	// NearlyFullSlowdown multiplies the service time of a request that starts on a nearly full server, that is, one
+	// that has more than NearlyFullShare of its slots in use, this request included.
 	NearlyFullShare    float64
 	NearlyFullSlowdown float64
 	// Fault is the fault that FaultShare of the servers have between FaultFrom and FaultUntil.
@@ -72,7 +73,7 @@
 	FaultFrom, FaultUntil time.Duration
 	// Repeatable is set if a request may run more than once, so that it may be hedged.
 	Repeatable bool
-	// Seed is the seed of all random numbers.
+	// Seed is the seed of all random numbers in the simulation.
 	Seed uint64
 }
 
@@ -89,7 +90,7 @@
 	// InGoal counts responses within the latency goal, and Late those after it but within the caller's time-out.
 	InGoal int
 	Late   int
-	// Refused counts requests that the policy or a full server refused, and Lost those that the caller gave up.
+	// Refused counts requests that the policy or a full server refused, and Lost those for which the caller timed out.
 	Refused int
 	Lost    int
 	// Utility is the mean utility of a request: 1 for a response within the goal, lateUtility for a later one, else 0.
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -88,8 +88,8 @@
 }
 
 // dispatch starts queued requests that are expected to meet their goal. A request that can no longer meet it is started
-// only while at least half of all slots are free. Requests are refused at their deadlines. While requests are queued,
-// dispatch runs every millisecond.
+// only while at least half of all slots are free. Requests are refused once their deadline has passed. While requests are
+// queued, dispatch runs at least every millisecond.
 func (b *idealBalancer) dispatch() {
 	now := b.sim.now
 	remaining := b.queue[:0]
@@ -154,7 +154,7 @@
 // directBalancer runs LeastInFlight and AtRandom.
 type directBalancer struct {
 	sim *simulation
-	// inFlight holds the number of requests in flight by host and server. It is empty for AtRandom.
+	// inFlight holds the number of requests in flight, by host and then by server. It is empty for AtRandom.
 	inFlight [][]int
 }
 
@@ -183,8 +183,9 @@
 	})
 }
 
-// chooseServer returns the index of a server and a function to call once the request has ended. Of servers with equally
-// few requests in flight it takes the first one after a random start.
+// chooseServer returns the index of the server for a request, and a function to call once the request has ended. For
+// AtRandom it is a random server, for LeastInFlight the one with the fewest requests in flight, ties being broken at
+// random.
 func (b *directBalancer) chooseServer() (int, func()) {
 	first := b.sim.random.IntN(len(b.sim.servers))
 	if len(b.inFlight) == 0 {
@@ -297,7 +298,8 @@
 	}
 }
 
-// send hands a request to the target as the host does, unless it has been answered meanwhile.
+// send sends a request to the target as an entry host does. If the request has been answered or refused meanwhile, it
+// instead reports the run to the home as canceled.
 func (b *homeBalancer) send(j *job, target string) {
 	server := b.serverByName(target)
 	if j.finished {
--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// RetryBudget limits extra attempts, that is, retries and hedges, to a share of the requests of a service in any sliding
-// window. It prevents retry storms: a service that fails or refuses requests must not get more load because of that.
+// RetryBudget limits extra attempts, that is, retries and hedges, to a share of the requests of a service, plus a fixed
+// number, in any sliding window. It prevents retry storms: a service that fails or refuses requests must not get more
+// load because of that.
 type RetryBudget struct {
 	// Ratio is the maximum number of extra attempts per request, and Slack how many more are allowed per window.
 	Ratio  float64
@@ -13,8 +14,8 @@
 	buckets [budgetBuckets + 1]budgetBucket
 }
 
-// budgetBuckets is the number of buckets that a window is counted in. One more bucket is kept, because a sliding window
-// overlaps with one bucket more.
+// budgetBuckets is the number of buckets that a window is divided into. One more bucket is kept, because a window that
+// does not begin at a bucket boundary overlaps with one bucket more.
 const budgetBuckets = 20
 
 type budgetBucket struct {
@@ -36,8 +37,9 @@
 func (b *RetryBudget) AddRequest(now time.Duration) { b.bucket(now).requests++ }
 
 // sums returns the extra attempts of the window that ends now, and the requests of only its second half. A window that
-// ends later may hold the same extra attempts but fewer of the requests before them. Requests of the last half window
-// are in that later window, or in the one that ends half a window before it, as long as the extra attempts count.
+// ends later may contain the same extra attempts but fewer of the requests that allowed them. The requests of the last
+// half window before an extra attempt, however, are all in each later window that contains the attempt, or all in the
+// window that ends half a window earlier. Hence the limit holds for the higher request count of these two windows.
 func (b *RetryBudget) sums(now time.Duration) (requests, extraAttempts int) {
 	current := b.bucket(now).index
 	for _, s := range b.buckets {
--- a/internal/placement/crash.go
+++ b/internal/placement/crash.go
@@ -4,12 +4,15 @@
 
 // Limits of the quarantine for requests that crash targets.
 const (
+	// crashesToQuarantine is the number of targets whose connection broke after which a request is quarantined.
 	crashesToQuarantine = 3
-	quarantineTime      = 2 * time.Minute
-	maxCrashSuspects    = 4096
+	// quarantineTime is the duration of the quarantine after the last broken connection.
+	quarantineTime = 2 * time.Minute
+	// maxCrashSuspects limits the memory for suspects.
+	maxCrashSuspects = 4096
 )
 
-// crashSuspect is a request during which at least one target closed the connection without a response.
+// crashSuspect is a request of which at least one run ended with OutcomeConnectionBroke.
 type crashSuspect struct {
 	targets map[string]bool
 	last    time.Duration
@@ -44,7 +47,7 @@
 	return s != nil && len(s.targets) >= crashesToQuarantine && now-s.last < quarantineTime
 }
 
-// evict removes suspects older than quarantineTime, or all of them if that does not make room.
+// evict removes suspects whose last crash is more than quarantineTime ago, or all suspects if that does not make room.
 func (c crashTracker) evict(now time.Duration) {
 	for fingerprint, s := range c {
 		if now-s.last > quarantineTime {
--- a/internal/placement/end.go
+++ b/internal/placement/end.go
@@ -61,7 +61,7 @@
 		t.recordFailure(now, h.mayEject(now))
 		h.crashes.connectionBroke(now, r.Fingerprint, t.Name)
 	case OutcomeNotRun:
-		// The target is full: it has more requests than this home has placed there.
+		// Count the target as full: it has more requests than this home knows of.
 		t.reportedLoad, t.loadAt = max(t.Slots, t.reportedLoad), now
 		t.failureRate = max(t.failureRate, failureGain)
 	case OutcomeUnreachable:
@@ -73,8 +73,8 @@
 	}
 }
 
-// recordDuration updates the service time of the request's class from a run, or, if the run took one of the target's last
-// slots, the slowdown of nearly full targets.
+// recordDuration updates the service time of the request's class from the duration of a run or, if the run took one of
+// the target's last slots, the slowdown of nearly full targets. The first run of a class always sets its service time.
 func (h *Home) recordDuration(r *Request, ended *run, duration time.Duration) {
 	seconds := duration.Seconds() / max(minFactor, ended.slowdown)
 	old := h.serviceTimes[r.Class]
@@ -134,7 +134,8 @@
 	}
 }
 
-// EndStream removes all requests and runs of a placement stream that has ended.
+// EndStream removes all requests of a placement stream that has ended, frees the slots of their runs and dispatches
+// queued requests.
 func (h *Home) EndStream(now time.Duration, stream uint64) {
 	for id, r := range h.requests {
 		if id.Stream != stream {
@@ -158,8 +159,8 @@
 // runEndTimeout is how long after the deadline of its request a run is removed if its end is not reported.
 const runEndTimeout = time.Second
 
-// Tick handles timeouts, dispatches queued requests and starts hedges. It must be called every few milliseconds while the
-// home has requests, and reports whether it still has any.
+// Tick handles timeouts, reports ejections, dispatches queued requests and starts hedges. It must be called about every
+// 10 ms (tickInterval) while the home has requests, and reports whether it still has any.
 func (h *Home) Tick(now time.Duration) bool {
 	h.checkProbeTimeouts(now)
 	h.reportEjections(now)
--- a/internal/placement/hedge.go
+++ b/internal/placement/hedge.go
@@ -9,7 +9,8 @@
 const (
 	// hedgeAgeRatio is the age of a run, relative to its expected duration, from which a hedge is worthwhile.
 	hedgeAgeRatio = 1.6
-	// lastChanceAgeRatio replaces hedgeAgeRatio if a hedge started at the next tick would miss the request's goal.
+	// lastChanceAgeRatio replaces hedgeAgeRatio if a hedge would meet the request's goal when started now, but no longer
+	// when started at the next tick.
 	lastChanceAgeRatio = 1.25
 	// hedgeMargin is the safety factor on the expected duration of a hedge when it is compared with the goal.
 	hedgeMargin = 1.3
@@ -17,8 +18,9 @@
 	hedgeReserve = 10.0
 )
 
-// startHedges starts a second run for each repeatable request whose run takes longer than expected, if targets have free
-// slots. This limits the latency that a target causes when it becomes slow or drops a request.
+// startHedges starts a second run for each repeatable request whose run takes longer than expected, if no request is
+// queued, another target has a free slot and the retry budget allows it. This limits the latency that a target causes
+// when it becomes slow or drops a request.
 func (h *Home) startHedges(now time.Duration) {
 	if len(h.queue) > 0 {
 		return
@@ -33,6 +35,9 @@
 	}
 }
 
+// hedgeIfSlow starts a hedge for a request whose first run has reached hedgeAgeRatio, or lastChanceAgeRatio if it is
+// the last chance to meet the goal. A hedge that would miss a goal which a faster target could still meet is not
+// started.
 func (h *Home) hedgeIfSlow(now time.Duration, r *Request, first *run) {
 	ageRatio := float64(now-first.startedAt) / float64(first.expected)
 	if ageRatio < lastChanceAgeRatio {
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -10,9 +10,10 @@
 
 // Parameters of the statistics of a service. A gain is the weight of one new value in an exponential moving average.
 const (
-	// initialGoalShare is the service time assumed for a class that has not run yet, as a share of its latency goal.
+	// initialGoalShare is the service time assumed for a class before its first response, as a share of its latency goal.
 	initialGoalShare = 0.4
-	// serviceTimeGain applies to the service time of a class for each run, paceGain to the average pace for each load report.
+	// serviceTimeGain applies to the service time of a class for each run, paceGain to the average pace for each load
+	// report.
 	serviceTimeGain = 0.05
 	paceGain        = 0.01
 	// nearlyFullGain applies to the slowdown of nearly full targets for each run that took one of the last slots.
@@ -25,8 +26,8 @@
 	maxFactor = 4.0
 	// goalMargin is the safety factor on the expected duration of a run when it is compared with the goal.
 	goalMargin = 1.15
-	// lateFreeShare is the share of slots that must be free for a late request to be placed. The rest of the slots is kept
-	// for requests that can still meet their goal.
+	// lateFreeShare is the share of slots that late requests leave free for requests that can still meet their goal: a
+	// late request is placed only while more than this share is free.
 	lateFreeShare = 0.7
 )
 
@@ -49,8 +50,8 @@
 }
 
 // Home places the requests of one service: it holds the queue and the state of the service's targets, and decides where
-// and when each request runs. One entry host is the primary home of a service and decides for all entry hosts; the others
-// are fallback homes, which decide while the primary cannot be reached. A Home is not safe for concurrent use.
+// and when each request runs. One entry host is the primary home of a service and decides for all entry hosts. Any other
+// host acts as a fallback home for hosts that cannot reach the primary. A Home is not safe for concurrent use.
 type Home struct {
 	config  Config
 	targets []*targetState
@@ -69,11 +70,11 @@
 	// lastRequestAt is when a request was last submitted.
 	lastRequestAt time.Duration
 	lateWait      lateWaitEstimator
-	// primary is set on the primary home. A fallback home may send probes only while it has probeCredit, one for each.
+	// primary is set on the primary home. On a fallback home, probeCredit is the number of probes that it may still send.
 	primary     bool
 	probeCredit float64
 	crashes     crashTracker
-	// refusals counts refusals, to vary the jitter of the retry delays.
+	// refusals is the number of refusals so far. It gives each retry delay a different jitter.
 	refusals uint64
 }
 
@@ -98,7 +99,7 @@
 			t = &targetState{Target: registered, warmUpUntil: now + registered.WarmUpLeft, paceAt: -time.Hour, loadAt: -time.Hour, failureRateAt: -time.Hour, probe: probeState{sentAt: -time.Hour}}
 		}
 		if registered.WarmUpLeft != t.WarmUpLeft {
-			// The target has written its store entry again, so that the warm-up time counts from now.
+			// The target has written its store entry again: the new warm-up time counts from now.
 			t.warmUpUntil = now + registered.WarmUpLeft
 		}
 		t.Target = registered
@@ -198,7 +199,8 @@
 	return time.Duration(initialGoalShare * float64(max(0, r.Goal-r.submittedAt)))
 }
 
-// Dispatch places queued requests for which a target is free, and refuses those that can no longer meet their deadline.
+// Dispatch places queued requests for which a suitable target has a free slot, and refuses those that can no longer meet
+// their deadline, or all if no target is available.
 func (h *Home) Dispatch(now time.Duration) {
 	if len(h.queue) == 0 {
 		return
@@ -267,7 +269,7 @@
 	return false
 }
 
-// newPlaced returns the verdict that assigns a request to a target, and the data on which the decision was based.
+// newPlaced returns the verdict that assigns a request to a target, with the data on which the decision was based.
 func newPlaced(now time.Duration, t *targetState, e runEstimate) Placed {
 	return Placed{Target: t.Name, Address: t.Address, Expected: e.expected, KnowledgeAge: now - t.paceAt}
 }
@@ -275,14 +277,15 @@
 // runEstimate is the expected duration of a run that starts on a target now.
 type runEstimate struct {
 	expected time.Duration
-	// slowdown is the expected duration relative to the service time. nearlyFull is set if the run would take one of the
-	// target's last slots.
+	// slowdown is the expected duration relative to the service time of the request's class. nearlyFull is set if the run
+	// would take one of the target's last slots.
 	slowdown   float64
 	nearlyFull bool
 }
 
 // pickTarget returns the target with the lowest expected duration, adjusted for load and for traffic between failure
-// domains. It considers available targets with a free slot that are not in skip, and returns nil if there is none.
+// domains, and the estimate for a run there. It considers available targets with a free slot that are not in skip, and
+// returns nil if there is none.
 func (h *Home) pickTarget(now time.Duration, r *Request, skip []string) (*targetState, runEstimate) {
 	var best *targetState
 	var chosen runEstimate
@@ -310,10 +313,11 @@
 const (
 	// loadPenalty is the penalty of a full target. It spreads requests over the targets.
 	loadPenalty = 0.1
-	// crossDomainBytes is the response size for which a target in another failure domain counts as twice as slow, before
-	// the limit of maxCrossDomainPenalty. Traffic between failure domains is billed by the byte.
+	// crossDomainBytes is the response size for which a target in another failure domain would count as twice as slow
+	// without the limit of maxCrossDomainPenalty. Traffic between failure domains is billed by the byte.
 	crossDomainBytes = 256 << 10
-	// maxCrossDomainPenalty limits the penalty, so that requests with large responses still go to much faster targets.
+	// maxCrossDomainPenalty limits the penalty, so that requests with large responses still go to a target in another
+	// failure domain if it is much faster.
 	maxCrossDomainPenalty = 0.5
 	// responseBytesGain is the weight of one response in the moving average of the response size of a class.
 	responseBytesGain = 0.05
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -126,8 +126,8 @@
 	is.True(f.placedOn(unprobed) != "")
 }
 
-// TestOrdersQueue queues requests of two priorities: the one of the higher priority is placed first, then the one with the
-// latest goal.
+// TestOrdersQueue queues requests of two priorities: the one of the higher priority is placed first, then the one with
+// the latest goal.
 func TestOrdersQueue(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(1, ampleBudget)
@@ -184,7 +184,7 @@
 	is.True(longest-shortest > time.Duration(0.9*retryDelaySpread*float64(shortest)))
 }
 
-// TestEjectsAtMostHalf lets runs fail on every target: at least half of the targets stay available.
+// TestEjectsAtMostHalf lets runs time out on every target: some targets are ejected, but at least half stay available.
 func TestEjectsAtMostHalf(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(4, ampleBudget)
@@ -314,8 +314,8 @@
 	is.True(f.home.byName["new"].warmUpUntil < f.now)
 }
 
-// TestIdleServiceIsNotProbed sends no requests for some time: probing stops after busyPeriod. The next request resumes it,
-// and targets that were down are probed too.
+// TestIdleServiceIsNotProbed sends no requests for some time: probing stops after busyPeriod. The next request resumes
+// it, and targets that were down are probed too.
 func TestIdleServiceIsNotProbed(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(3, ampleBudget)
@@ -340,7 +340,7 @@
 
 // TestRetryBudgetIsNeverExceeded spends extra attempts in random patterns: no sliding window has more of them than the
 // ratio and slack allow. The ratio applies to the requests of that window, of the window before it or of the one half a
-// window earlier, whichever is highest, which is how the owners of the services count.
+// window earlier, whichever has the most. The owners of the services count in the same way.
 func TestRetryBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := RetryBudget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
@@ -438,7 +438,7 @@
 	}
 	perTarget := float64(probes) / targets / seconds
 	t.Logf("%.1f probes per target and second", perTarget)
-	// Each fallback home may send one more probe to each target at its start.
+	// Each fallback home may send one more probe to each target at its start, which is hosts/seconds per second.
 	is.True(perTarget <= 20+float64(hosts)/seconds)
 }
 
@@ -460,8 +460,8 @@
 	is.Equal(f.placedOn(f.submit(nil)), "new") // expected to take 180 ms, with a goal of 250 ms
 }
 
-// TestFormerPrimaryHomeStillProbes turns a primary home into a fallback home: its probes as the primary must not have used
-// up its probe credit.
+// TestFormerPrimaryHomeStillProbes turns a primary home into a fallback home: its probes as the primary must not have
+// used up its probe credit.
 func TestFormerPrimaryHomeStillProbes(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(4, ampleBudget)
--- a/internal/placement/overdue.go
+++ b/internal/placement/overdue.go
@@ -11,7 +11,7 @@
 type lateWaitEstimator struct {
 	// interval is the moving average of the time between placements of late requests.
 	interval time.Duration
-	// lastPlacedAt is when a late request was last placed or, if none was since, when late requests began to wait.
+	// lastPlacedAt is when a late request was last placed or, if that was later, when late requests began to queue.
 	lastPlacedAt time.Duration
 	queued       int
 }
@@ -35,8 +35,8 @@
 	e.lastPlacedAt = now
 }
 
-// estimate returns how long a late request will wait behind so many other late requests. For each of them it takes the
-// average interval between placements, or the time since the last placement if that is longer.
+// estimate returns how long a late request will wait behind the given number of other late requests. For itself and
+// each of them it adds the average interval between placements, or the time since the last placement if that is longer.
 func (e *lateWaitEstimator) estimate(now time.Duration, ahead int) time.Duration {
 	if e.queued == 0 {
 		return 0
--- a/internal/placement/overdue_test.go
+++ b/internal/placement/overdue_test.go
@@ -13,7 +13,7 @@
 	var e lateWaitEstimator
 	is.Equal(e.estimate(time.Second, 0), time.Duration(0)) // no late request is queued
 	e.setQueued(time.Second, 2)
-	is.Equal(e.estimate(time.Second, 3), time.Duration(0)) // no time has passed yet
+	is.Equal(e.estimate(time.Second, 3), time.Duration(0)) // no time has passed since requests began to queue
 	is.Equal(e.estimate(1200*time.Millisecond, 0), 200*time.Millisecond)
 	is.Equal(e.estimate(1200*time.Millisecond, 2), 600*time.Millisecond)
 	for now := 1210 * time.Millisecond; now < 1400*time.Millisecond; now += 10 * time.Millisecond {
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -7,7 +7,7 @@
 
 // Intervals and limits of health probes.
 const (
-	// probeInterval is the probe interval of a target while its service is busy, so that one that hangs is noticed.
+	// probeInterval is the probe interval of a target while its service is busy, so that a hung target is detected.
 	probeInterval = 250 * time.Millisecond
 	// queuedProbeInterval is the probe interval of targets with free slots while requests are queued.
 	queuedProbeInterval = 25 * time.Millisecond
@@ -43,7 +43,8 @@
 	// credit is the number of probes that the rate limit allowed at creditAt.
 	credit   float64
 	creditAt time.Duration
-	// down is set after a probe without a response, an unhealthy result or a failed connection, until a probe succeeds.
+	// down is set after a probe without a response, an unhealthy result or a failed connection. It is reset when a probe
+	// succeeds or the service gets its first request after being idle.
 	down bool
 }
 
@@ -73,7 +74,8 @@
 	ProbeOtherServer
 )
 
-// DueProbes returns the targets to probe now. For each of them the caller must call RecordProbe with the result.
+// DueProbes returns the targets to probe now, as Placed values of which only Target and Address are set. For each of them
+// the caller must call RecordProbe with the result.
 func (h *Home) DueProbes(now time.Duration) []Placed {
 	var due []Placed
 	for _, t := range h.targets {
@@ -92,9 +94,9 @@
 	return due
 }
 
-// SetPrimary sets whether this is the primary home of the service, which all hosts try first. Otherwise it is a fallback
-// home. Many of these may be active while hosts cannot reach the primary, so that each starts with a credit of one probe
-// for each target and gets more only with requests.
+// SetPrimary sets whether this is the primary home of the service, which all hosts try first. Otherwise it is a
+// fallback home. Many of these may be active while hosts cannot reach the primary; therefore each starts with a credit
+// of one probe per target and gets more credit only with requests.
 func (h *Home) SetPrimary(primary bool) { h.primary = primary }
 
 // addProbeCredit adds the probe credit of a fallback home for one submitted request.
@@ -119,7 +121,7 @@
 // busy reports whether the service has had a request within busyPeriod.
 func (h *Home) busy(now time.Duration) bool { return now-h.lastRequestAt <= busyPeriod }
 
-// resumeProbing marks all targets of a service that was idle as up, because their last probe results are outdated.
+// resumeProbing marks all targets as not down if the service was idle, because their last probe results are outdated.
 func (h *Home) resumeProbing(now time.Duration) {
 	if h.busy(now) {
 		return
@@ -130,7 +132,8 @@
 }
 
 // shouldAwaitProbe reports whether a request should stay queued until a probe of its best target returns, because the
-// reported pace of that target is too old. If so, it requests probes of the few best targets.
+// reported pace of that target is too old. If so, it requests probes of the few best targets. A request waits at most
+// maxProbeWait in this way.
 func (h *Home) shouldAwaitProbe(now time.Duration, r *Request, best *targetState) bool {
 	if now-r.submittedAt >= maxProbeWait || now-best.paceAt < maxPaceAge || best.probe.sentAt >= r.submittedAt && !best.probe.pending {
 		return false
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -27,16 +27,18 @@
 type Request struct {
 	ID RequestID
 	// Class names a group of requests with a similar service time.
-	Class    string
+	Class string
+	// Priority orders the queue: lower numbers are placed first.
 	Priority int
-	// Goal is the time from which a response is worth less; Deadline is the time from which it is worth nothing.
+	// Goal is the time after which a response is worth less; Deadline is the time after which it is worth nothing.
 	Goal     time.Duration
 	Deadline time.Duration
 	// Repeatable is set if the request may run more than once, so that it may be hedged.
 	Repeatable bool
 	// Tried lists the names of the targets that the request has been sent to. It is empty for the first attempt.
 	Tried []string
-	// Fingerprint is a hash of the caller, path and body; 0 means that there is none.
+	// Fingerprint is a hash of the caller, URI and body, by which a request that crashes targets is recognized when it is
+	// sent again; 0 means that there is none.
 	Fingerprint uint64
 	// Domain is the failure domain of the host that will send the request.
 	Domain string
@@ -59,7 +61,8 @@
 	KnowledgeAge time.Duration
 }
 
-// Queued means that the request waits in the queue. Placed or Refused follows.
+// Queued means that the request waits in the queue. Placed or Refused follows, unless the request is canceled or its
+// placement stream ends.
 type Queued struct{}
 
 // Refused means that the request is not placed. RetryAfter is the delay after which the caller should retry.
@@ -101,9 +104,10 @@
 	OutcomeAnswered Outcome = iota
 	// OutcomeFailed means that the target responded with a server error.
 	OutcomeFailed
-	// OutcomeNotRun means that the request certainly did not run, in most cases because the target responded so.
+	// OutcomeNotRun means that the request certainly did not run: the target responded so, or the host did not send it
+	// because its connection pool was exhausted or the request was canceled or timed out first.
 	OutcomeNotRun
-	// OutcomeUnreachable means that no byte of the request was sent to the target.
+	// OutcomeUnreachable means that the target could not be reached, and no byte of the request was sent to it.
 	OutcomeUnreachable
 	// OutcomeConnectionBroke means that, after the request was sent, the connection broke or an invalid response came.
 	OutcomeConnectionBroke
@@ -115,8 +119,10 @@
 	OutcomeOtherServer
 )
 
-// LoadReport is the load that a target reports in the headers of a response.
+// LoadReport is the load that a target reports in the headers of a response to a request or a probe.
 type LoadReport struct {
+	// Running and Waiting are the numbers of requests that the target runs and queues. Slots is the number that it can
+	// run concurrently; zero means that it does not report it.
 	Running int
 	Waiting int
 	Slots   int
--- a/internal/placement/returns.go
+++ b/internal/placement/returns.go
@@ -20,8 +20,9 @@
 // many there are.
 var goldenRatio = (math.Sqrt(5) - 1) / 2
 
-// retryAfter returns the delay after which a refused caller should retry. It is about the time in which the current queue
-// is served, plus jitter, so that callers refused together do not retry together.
+// retryAfter returns the delay after which a refused caller should retry. For a request that was refused because of
+// load it is about the time in which the current queue is served; for other reasons it is fixed. Jitter is added, so
+// that callers refused together do not retry together, except for quarantined requests.
 func (h *Home) retryAfter(now time.Duration, r *Request, reason Reason) time.Duration {
 	h.refusals++
 	_, fraction := math.Modf(float64(h.refusals) * goldenRatio)
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -8,12 +8,12 @@
 
 // Parameters of the state of a target. A decay time is the time constant of an exponential decay.
 const (
-	// paceDecayTime is the decay time of a reported pace. The load that neighbouring workloads put on the target's machine
-	// changes within a few hundred milliseconds.
+	// paceDecayTime is the decay time of a reported pace. The load that neighbouring workloads put on the target's
+	// machine changes within a few hundred milliseconds.
 	paceDecayTime = 300 * time.Millisecond
 	// maxLoadAge is how long a reported load is used. After that, only the runs that this home has placed are counted.
 	maxLoadAge = 100 * time.Millisecond
-	// transitTime is the longest time between the placement of a run and the target's load reports counting it.
+	// transitTime is the longest time until a run that was placed is counted in the target's load reports.
 	transitTime = 8 * time.Millisecond
 	// failureDecayTime is the decay time of a target's failure rate.
 	failureDecayTime = 3 * time.Second
@@ -21,14 +21,16 @@
 	failureGain = 0.25
 	// failurePenalty makes a run on a target where every run fails count as 1+failurePenalty times as long.
 	failurePenalty = 6.0
-	// warmUpSlowdown is the factor by which a target is assumed to be slower while it warms up, unless it reports its pace.
+	// warmUpSlowdown is the factor by which a target is assumed to be slower while it warms up, unless it reports its
+	// pace.
 	warmUpSlowdown = 2.0
-	// overdueRatio is the age of a run, relative to its expected duration, from which the run is overdue and its target is
-	// assumed to be slow or hung.
+	// overdueRatio is the age of a run, relative to its expected duration, from which the run is overdue and its target
+	// is assumed to be slow or hung.
 	overdueRatio = 2.0
 	// nearlyFullShare is the share of used slots above which a target is nearly full and may slow down.
 	nearlyFullShare = 0.8
-	// minEjection is the duration of a target's first ejection. It doubles with each further one, up to maxEjection.
+	// minEjection is the duration of a target's first ejection. It doubles with each further one, up to maxEjection,
+	// until a run on the target succeeds.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
 	// failuresToEject is the number of consecutive failures after which a target is ejected.
@@ -40,7 +42,7 @@
 	Name    string
 	Address string
 	Domain  string
-	// Slots is the number of requests that it runs concurrently.
+	// Slots is the number of requests that it can run concurrently.
 	Slots int
 	// Draining is set when it accepts no new requests.
 	Draining bool
@@ -85,8 +87,8 @@
 	return math.Exp(-float64(age) / float64(decayTime))
 }
 
-// load returns the number of requests on the target, including those that this home has not placed. A recent load report
-// takes precedence over the count of runs, because runs whose response was lost no longer occupy a slot.
+// load returns the number of requests on the target. A recent load report, which also counts requests that this home has
+// not placed, takes precedence over the number of runs, because runs whose response was lost no longer occupy a slot.
 func (t *targetState) load(now time.Duration) int {
 	if now-t.loadAt > maxLoadAge {
 		return len(t.runs)
@@ -129,7 +131,8 @@
 	return factor * t.overdueFactor(now), nearlyFull
 }
 
-// overdueFactor returns a factor above 1 if a run on the target is overdue and the target has sent no response since.
+// overdueFactor returns the age of the most overdue run on the target relative to its expected duration, or 1 if no run
+// is overdue. The age counts from the last response of the target if the run started before it.
 func (t *targetState) overdueFactor(now time.Duration) float64 {
 	worst := 1.0
 	for _, active := range t.runs {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster keeps a replica of the platform's store on an entry host: the configuration in force, the targets (backend
-// servers) that have registered themselves, and the addresses of other entry hosts. A configuration results from a note,
-// a numbered release note of an operator; a note with a higher number is newer.
+// Package roster keeps a replica of the platform's store on an entry host: the configuration in force, the targets
+// (backend servers) that have registered themselves, and the addresses of other entry hosts. A configuration results
+// from a note, a numbered release note of an operator; a note with a higher number is newer.
 //
 // The package does no I/O and reads no clock: callers pass changes of the store and the time as a monotonic offset.
 package roster
@@ -21,6 +21,7 @@
 const storeReturnGrace = 2 * time.Second
 
 // maxTombstones is the number of deletions that are remembered, so that an older write that arrives late is ignored.
+// When it is exceeded, all of them are forgotten, except those of entries that are still in use.
 const maxTombstones = 4096
 
 // Config configures a Roster.
@@ -45,7 +46,7 @@
 type entryState struct {
 	change  platform.Change
 	decoded DecodedEntry
-	// usableUntil is when a deleted target goes out of use; zero means immediately.
+	// usableUntil is when the content of a deleted entry goes out of use; zero means immediately.
 	usableUntil time.Duration
 }
 
@@ -82,8 +83,8 @@
 	return r.revision
 }
 
-// StoreReturned records that the store can be reached again after an outage. It reports false if this was recorded already,
-// because several hosts detect the end of the same outage.
+// StoreReturned records that the store can be reached again after an outage. It reports false if this was recorded
+// already, because several hosts detect the end of the same outage.
 func (r *Roster) StoreReturned(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,9 +111,9 @@
 	return updates
 }
 
-// dropSuperseded removes the changes that a later change of the same key replaces, except the configuration in force. This
-// limits the traffic between hosts: a configuration may change many times before the store reports it, and every remaining
-// change is sent to each host that replicates from this one.
+// dropSuperseded removes the changes that a later change of the same key replaces, except the configuration in force.
+// This limits the traffic between hosts: a configuration may change many times before the store answers a watch
+// request, and every remaining change is sent to each host that replicates from this one.
 func (r *Roster) dropSuperseded(changes []platform.Change) []platform.Change {
 	last := map[string]int64{}
 	for _, c := range changes {
@@ -123,7 +124,8 @@
 	})
 }
 
-// ApplySnapshot applies a complete list of the store's entries, as Apply does. Keys that are not in it are deleted.
+// ApplySnapshot applies a complete list of the store's entries at a revision, as Apply does. Keys that are not in it are
+// deleted, unless a later revision has written them.
 func (r *Roster) ApplySnapshot(now time.Duration, entries []platform.Entry, revision int64) []platform.Change {
 	listed := map[string]bool{}
 	changes := make([]platform.Change, 0, len(entries))
@@ -141,7 +143,8 @@
 	return r.Apply(now, changes, revision)
 }
 
-// applyOne applies one change and reports whether replicas on other hosts need it.
+// applyOne applies one change and reports whether replicas on other hosts need it. An entry that cannot be decoded
+// replaces the old one of its key all the same, except that the configuration in force stays.
 func (r *Roster) applyOne(now time.Duration, c platform.Change) bool {
 	old := r.entries[c.Key]
 	if old != nil && old.change.Revision >= c.Revision {
@@ -161,7 +164,7 @@
 	return true
 }
 
-// setConfiguration puts a configuration in force, unless it is older than the current one.
+// setConfiguration puts a configuration in force, unless it is older than the one in force.
 func (r *Roster) setConfiguration(change platform.Change, c note.Configuration) {
 	if c.Number < r.configuration.Number {
 		r.config.OnRejectedEntry(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configuration.Number))
@@ -170,8 +173,9 @@
 	r.configuration, r.configuredBy = c, change
 }
 
-// remove marks a key as deleted and reports whether the key was known. After a store outage the entry may only have expired
-// because the target could not renew it, and the target stays in use until storeReturnGrace has passed.
+// remove marks a key as deleted and reports whether the key was known. Just after a store outage, an entry may have
+// expired only because its target or host could not renew it; its content stays in use until storeReturnGrace has
+// passed.
 func (r *Roster) remove(now time.Duration, old *entryState, c platform.Change) bool {
 	state := &entryState{change: c}
 	if old != nil && !old.change.Deleted && now-r.storeReturnedAt < storeReturnGrace {
@@ -194,7 +198,8 @@
 	r.tombstones = 0
 }
 
-// Tick ends the use of targets whose entries expired during a store outage and were not registered again.
+// Tick ends the use of targets whose entries were deleted just after a store outage and were not written again within
+// storeReturnGrace.
 func (r *Roster) Tick(now time.Duration) {
 	r.mu.Lock()
 	changed := false
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -60,7 +60,7 @@
 func (r *testRoster) targets() int { return len(r.View().Targets["s"]) }
 
 // TestIgnoresOlderChanges applies changes late and twice, a configuration with a lower number and one that cannot be
-// decoded: the configuration in force stays.
+// decoded: the configuration in force stays, and the last two are reported as rejected.
 func TestIgnoresOlderChanges(t *testing.T) {
 	is := is.New(t)
 	r := newTestRoster()
--- a/internal/roster/target.go
+++ b/internal/roster/target.go
@@ -20,7 +20,8 @@
 // TargetEntry holds the registration of a target.
 type TargetEntry struct{ Target Target }
 
-// PeerEntry holds the address of an entry host for traffic between hosts. Hosts that know no other host yet find one here.
+// PeerEntry holds the address of an entry host for traffic between hosts. A host that knows no other host yet uses it to
+// find one.
 type PeerEntry struct{ Inner string }
 
 func (ConfigurationEntry) decodedEntry() {}
