--- a/internal/meter/budget.go
+++ b/internal/meter/budget.go
@@ -40,8 +40,8 @@
 	config BudgetConfig
 	probes *rate.Limiter
 	bytes  *rate.Limiter
-	// core limits processor time. Its tokens are nanoseconds.
-	core *rate.Limiter
+	// cpuTime limits processor time. Its tokens are nanoseconds.
+	cpuTime *rate.Limiter
 	// spent holds the costs by failure domain.
 	spent     map[string]*Spent
 	coreSpent time.Duration
@@ -57,7 +57,7 @@
 	}
 	return &Budget{
 		config: c, spent: map[string]*Spent{}, probes: limiter(c.ProbesPerSec),
-		bytes: limiter(c.BytesPerSec), core: limiter(c.CoreShare * float64(time.Second)),
+		bytes: limiter(c.BytesPerSec), cpuTime: limiter(c.CoreShare * float64(time.Second)),
 	}
 }
 
@@ -73,7 +73,7 @@
 	if activity == ActivityProbe {
 		probes = 1
 	}
-	if b.probes.TokensAt(at) < float64(probes) || b.bytes.TokensAt(at) < float64(bytes) || b.core.TokensAt(at) <= 0 {
+	if b.probes.TokensAt(at) < float64(probes) || b.bytes.TokensAt(at) < float64(bytes) || b.cpuTime.TokensAt(at) <= 0 {
 		spent.Denied++
 		return false
 	}
@@ -89,15 +89,15 @@
 
 // Charge deducts from the budget the processor time that measurements have used. It may use up future budget: Allow then
 // denies measurements until that time has passed.
-func (b *Budget) Charge(now, core time.Duration) {
+func (b *Budget) Charge(now, cpuTime time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.coreSpent += core
+	b.coreSpent += cpuTime
 	at := b.config.Epoch.Add(now)
-	for core > 0 {
-		part := min(int(core), b.core.Burst())
-		b.core.ReserveN(at, part)
-		core -= time.Duration(part)
+	for cpuTime > 0 {
+		part := min(int(cpuTime), b.cpuTime.Burst())
+		b.cpuTime.ReserveN(at, part)
+		cpuTime -= time.Duration(part)
 	}
 }
 
--- a/internal/meter/budget_test.go
+++ b/internal/meter/budget_test.go
@@ -28,7 +28,7 @@
 		}
 		var measurements []measurement
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 400).Draw(t, "asks") {
+		for range rapid.IntRange(1, 400).Draw(t, "measurements") {
 			// Gaps of 0 make bursts. During long gaps unused budget accumulates.
 			now += time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 5, 40, 900}).Draw(t, "gap")) * time.Millisecond
 			bytes := rapid.IntRange(1, 600).Draw(t, "size")
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -306,14 +306,14 @@
 		b.reportRunEnd(j, target, placement.OutcomeCanceled, 0, nil)
 		return
 	}
-	sent := b.sim.now
+	sentAt := b.sim.now
 	r := &run{job: j}
 	r.onResponse = func(bool) {
 		report := server.loadReport()
 		b.sim.schedule(b.sim.workload.NetworkDelay, func() {
 			isFirst := !j.finished
 			b.sim.recordResponse(j)
-			b.reportRunEnd(j, target, placement.OutcomeAnswered, b.sim.now-sent, &report)
+			b.reportRunEnd(j, target, placement.OutcomeAnswered, b.sim.now-sentAt, &report)
 			if isFirst {
 				b.cancelOthers(j, r)
 			}
@@ -337,9 +337,9 @@
 }
 
 // cancelOthers cancels the runs of a request other than the one that was answered first.
-func (b *homeBalancer) cancelOthers(j *job, winner *run) {
+func (b *homeBalancer) cancelOthers(j *job, answered *run) {
 	for _, r := range b.runs[j.id] {
-		if r == winner {
+		if r == answered {
 			continue
 		}
 		b.sim.schedule(b.sim.workload.NetworkDelay, func() { r.server.cancel(r) })
--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -26,11 +26,11 @@
 
 func (b *RetryBudget) bucket(now time.Duration) *budgetBucket {
 	index := int64(now / (b.Window / budgetBuckets))
-	s := &b.buckets[index%int64(len(b.buckets))]
-	if s.index != index {
-		*s = budgetBucket{index: index}
+	bucket := &b.buckets[index%int64(len(b.buckets))]
+	if bucket.index != index {
+		*bucket = budgetBucket{index: index}
 	}
-	return s
+	return bucket
 }
 
 // AddRequest counts the first attempt of a request.
@@ -42,12 +42,12 @@
 // window that ends half a window earlier. Hence the limit holds for the higher request count of these two windows.
 func (b *RetryBudget) sums(now time.Duration) (requests, extraAttempts int) {
 	current := b.bucket(now).index
-	for _, s := range b.buckets {
-		if s.index > current-budgetBuckets/2 {
-			requests += s.requests
+	for _, bucket := range b.buckets {
+		if bucket.index > current-budgetBuckets/2 {
+			requests += bucket.requests
 		}
-		if s.index > current-int64(len(b.buckets)) {
-			extraAttempts += s.extraAttempts
+		if bucket.index > current-int64(len(b.buckets)) {
+			extraAttempts += bucket.extraAttempts
 		}
 	}
 	return requests, extraAttempts
--- a/internal/placement/crash.go
+++ b/internal/placement/crash.go
@@ -14,15 +14,15 @@
 
 // crashSuspect is a request of which at least one run ended with OutcomeConnectionBroke.
 type crashSuspect struct {
-	targets map[string]bool
-	last    time.Duration
+	targets     map[string]bool
+	lastCrashAt time.Duration
 }
 
 // crashTracker finds requests that crash every target they run on. Its keys are request fingerprints.
 type crashTracker map[uint64]*crashSuspect
 
 // connectionBroke records that the connection to a target broke while the target ran the request.
-func (c crashTracker) connectionBroke(now time.Duration, fingerprint uint64, name string) {
+func (c crashTracker) connectionBroke(now time.Duration, fingerprint uint64, target string) {
 	if fingerprint == 0 {
 		return
 	}
@@ -34,8 +34,8 @@
 		s = &crashSuspect{targets: map[string]bool{}}
 		c[fingerprint] = s
 	}
-	s.targets[name] = true
-	s.last = now
+	s.targets[target] = true
+	s.lastCrashAt = now
 }
 
 // forget removes a request from the suspects, because a target has answered it.
@@ -44,13 +44,13 @@
 // quarantined reports whether a request must not be sent to any more targets.
 func (c crashTracker) quarantined(now time.Duration, fingerprint uint64) bool {
 	s := c[fingerprint]
-	return s != nil && len(s.targets) >= crashesToQuarantine && now-s.last < quarantineTime
+	return s != nil && len(s.targets) >= crashesToQuarantine && now-s.lastCrashAt < quarantineTime
 }
 
 // evict removes suspects whose last crash is more than quarantineTime ago, or all suspects if that does not make room.
 func (c crashTracker) evict(now time.Duration) {
 	for fingerprint, s := range c {
-		if now-s.last > quarantineTime {
+		if now-s.lastCrashAt > quarantineTime {
 			delete(c, fingerprint)
 		}
 	}
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -193,8 +193,8 @@
 
 // serviceTime returns the expected duration of a run of the request at a pace of 1.
 func (h *Home) serviceTime(r *Request) time.Duration {
-	if b := h.serviceTimes[r.Class]; b > 0 {
-		return time.Duration(b * float64(time.Second))
+	if seconds := h.serviceTimes[r.Class]; seconds > 0 {
+		return time.Duration(seconds * float64(time.Second))
 	}
 	return time.Duration(initialGoalShare * float64(max(0, r.Goal-r.submittedAt)))
 }
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -352,11 +352,11 @@
 		now := time.Minute
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond
-			s := step{at: now, requests: rapid.IntRange(0, 20).Draw(t, "first")}
+			s := step{at: now, requests: rapid.IntRange(0, 20).Draw(t, "requests")}
 			for range s.requests {
 				b.AddRequest(now)
 			}
-			for range rapid.IntRange(0, 30).Draw(t, "wanted") {
+			for range rapid.IntRange(0, 30).Draw(t, "extra attempts") {
 				if b.Spend(now, 0) {
 					s.extraAttempts++
 				}
@@ -391,9 +391,9 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				f.submit(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "host")) })
+				f.submit(func(r *Request) { r.ID.Stream = uint64(rapid.IntRange(1, 3).Draw(t, "stream")) })
 			case 2:
-				f.home.EndStream(f.now, uint64(rapid.IntRange(1, 3).Draw(t, "leaving")))
+				f.home.EndStream(f.now, uint64(rapid.IntRange(1, 3).Draw(t, "ended stream")))
 			case 3:
 				f.now += 20 * time.Millisecond
 				f.home.Tick(f.now)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -94,13 +94,13 @@
 				changes = append(changes, put("config", strconv.Itoa(10+i), int64(2+i)))
 			}
 			changes = append(changes, put("t/a", "x", 35))
-			r, follower, late := newTestRoster(), newTestRoster(), newTestRoster()
+			r, follower, newReplica := newTestRoster(), newTestRoster(), newTestRoster()
 			updates := r.Apply(0, append(changes, c.last...), 50)
 			is.Equal(len(updates), c.updates)
 			follower.Apply(0, updates, 50)
 			all, revision := r.AllChanges()
-			late.Apply(0, all, revision)
-			for _, x := range []*testRoster{r, follower, late} {
+			newReplica.Apply(0, all, revision)
+			for _, x := range []*testRoster{r, follower, newReplica} {
 				is.Equal(x.View().Configuration.Number, 39)
 				is.Equal(x.targets(), 1)
 			}
