--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -87,9 +87,9 @@
 	b.dispatch()
 }
 
-// dispatch starts queued requests that are expected to meet their goal. A request that can no longer meet it is started
-// only while at least half of all slots are free. Requests are refused once their deadline has passed. While requests are
-// queued, dispatch runs at least every millisecond.
+// dispatch starts queued requests that are expected to meet their goal. A request that can no longer meet it, even on
+// an undisturbed server, is started only while at least half of all slots are free. Requests are refused once their
+// deadline has passed. While requests are queued, dispatch runs at least every millisecond.
 func (b *idealBalancer) dispatch() {
 	now := b.sim.now
 	remaining := b.queue[:0]
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -144,7 +144,8 @@
 	}
 }
 
-// cannotServe reports whether a new request cannot be served before its deadline, and the reason.
+// cannotServe reports whether a new request must be refused, because no target is available or the request is not
+// expected to end before its deadline, and returns the reason.
 func (h *Home) cannotServe(now time.Duration, r *Request) (Reason, bool) {
 	slots := h.availableSlots(now)
 	if slots == 0 {
@@ -233,7 +234,8 @@
 	)
 }
 
-// lateRank returns 1 for a late request, which cannot meet its goal even on the fastest target, and 0 for any other.
+// lateRank returns 1 for a late request, which is not expected to meet its goal even on a target with a pace of 1, and
+// 0 for any other.
 func (h *Home) lateRank(now time.Duration, r *Request) int {
 	if now+time.Duration(goalMargin*float64(h.serviceTime(r))) > r.Goal {
 		return 1
@@ -241,8 +243,8 @@
 	return 0
 }
 
-// placeOrRefuse places or refuses a queued request if it can, and reports whether the request has left the queue.
-// Of the queued requests ahead of it, lateAhead are late.
+// placeOrRefuse places or refuses a queued request, unless it is better kept in the queue, and reports whether the
+// request has left the queue. The number of queued requests ahead of it is ahead, of which lateAhead are late.
 func (h *Home) placeOrRefuse(now time.Duration, r *Request, ahead, lateAhead int) bool {
 	t, e := h.pickTarget(now, r, r.Tried)
 	if t != nil && h.shouldPlaceNow(now, r, e.expected) {
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -1,10 +1,11 @@
 // Package placement implements the load-balancing decisions for one service: which target (backend server) runs which
 // request, which requests are queued, hedged or refused, and when targets are probed and ejected.
 //
-// The decisions for a service are made in one place, its home, for the requests of all entry hosts. A request has a
-// latency goal, after which its response is worth less, and a deadline, after which it is worth nothing. Each attempt of
-// a request on a target is a run and occupies one of the target's slots. Targets report their load and their pace, that
-// is, how long requests take there at present relative to normal: a pace of 2 is twice as slow.
+// The decisions for a service are made in one place for the requests of all entry hosts, which are the hosts that
+// callers connect to. This place, the home of the service, is one of the entry hosts. A request has a latency goal,
+// after which its response is worth less, and a deadline, after which it is worth nothing. Each attempt of a request on
+// a target is a run and occupies one of the target's slots. Targets report their load and their pace, that is, how long
+// requests take there at present relative to normal: a pace of 2 is twice as slow.
 //
 // The package does no I/O and reads no clock. Callers pass the time as a monotonic offset, and receive decisions, called
 // verdicts, through a callback.
