--- a/internal/meter/budget.go
+++ b/internal/meter/budget.go
@@ -36,11 +36,13 @@
 
 // Budget is the rate limiter that all measurements of a host share. It is safe for concurrent use.
 type Budget struct {
-	mu        sync.Mutex
-	config    BudgetConfig
-	probes    *rate.Limiter
-	bytes     *rate.Limiter
-	core      *rate.Limiter
+	mu     sync.Mutex
+	config BudgetConfig
+	probes *rate.Limiter
+	bytes  *rate.Limiter
+	// cpuTime limits processor time. Its tokens are nanoseconds.
+	cpuTime *rate.Limiter
+	// spent holds the costs by failure domain.
 	spent     map[string]*Spent
 	coreSpent time.Duration
 }
@@ -55,12 +57,13 @@
 	}
 	return &Budget{
 		config: c, spent: map[string]*Spent{}, probes: limiter(c.ProbesPerSec),
-		bytes: limiter(c.BytesPerSec), core: limiter(c.CoreShare * float64(time.Second)),
+		bytes: limiter(c.BytesPerSec), cpuTime: limiter(c.CoreShare * float64(time.Second)),
 	}
 }
 
-// Allow reports whether a measurement may be made now. If so, it takes the measurement's cost in bytes from the budget and
-// adds it to the costs of the failure domain.
+// Allow reports whether a measurement may be made now. If so, it takes the given bytes, and for ActivityProbe one
+// probe, from the budget and adds them to the costs of the failure domain. Otherwise it counts the measurement as
+// denied there.
 func (b *Budget) Allow(now time.Duration, activity Activity, domain string, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +73,7 @@
 	if activity == ActivityProbe {
 		probes = 1
 	}
-	if b.probes.TokensAt(at) < float64(probes) || b.bytes.TokensAt(at) < float64(bytes) || b.core.TokensAt(at) <= 0 {
+	if b.probes.TokensAt(at) < float64(probes) || b.bytes.TokensAt(at) < float64(bytes) || b.cpuTime.TokensAt(at) <= 0 {
 		spent.Denied++
 		return false
 	}
@@ -84,16 +87,17 @@
 	return true
 }
 
-// Charge takes processor time that measurements have used from the budget.
-func (b *Budget) Charge(now, core time.Duration) {
+// Charge deducts from the budget the processor time that measurements have used. It may use up future budget: Allow then
+// denies measurements until that time has passed.
+func (b *Budget) Charge(now, cpuTime time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.coreSpent += core
+	b.coreSpent += cpuTime
 	at := b.config.Epoch.Add(now)
-	for core > 0 {
-		part := min(int(core), b.core.Burst())
-		b.core.ReserveN(at, part)
-		core -= time.Duration(part)
+	for cpuTime > 0 {
+		part := min(int(cpuTime), b.cpuTime.Burst())
+		b.cpuTime.ReserveN(at, part)
+		cpuTime -= time.Duration(part)
 	}
 }
 
