--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -227,7 +227,7 @@
 func (c *Controller) refuseExpired(now time.Duration) {
 	meanLatency := c.router.MeanLatency()
 	for _, class := range c.queue.classes {
-		for r := class.firstExpired(now, meanLatency); r != nil; r = class.firstExpired(now, meanLatency) {
+		for r := class.expiredHead(now, meanLatency); r != nil; r = class.expiredHead(now, meanLatency) {
 			c.queue.remove(r)
 			c.overloaded = true
 			c.refuse(r, ReasonDeadlineCannotBeMet, c.predictWait(now, c.queue.size))
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -304,7 +304,7 @@
 
 func (p *lateBinding) requestCompleted(s *simulation, j *job) {
 	h := p.hosts[j.hostIndex]
-	reported := j.target.reported
+	reported := j.target.reportedInFlight
 	s.after(s.networkDelay(h.domain, j.target), func() {
 		if j.done {
 			return
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -121,8 +121,8 @@
 		m.answered += s.answered
 		m.refused += s.refused
 		probes += s.policy.probeCount()
-		if g, isLateBinding := s.policy.(*lateBinding); isLateBinding {
-			countMessages += g.countMessages
+		if binding, isLateBinding := s.policy.(*lateBinding); isLateBinding {
+			countMessages += binding.countMessages
 		}
 	}
 	requests := float64(max(1, m.answered+m.refused))
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -114,9 +114,9 @@
 	return int(sum)
 }
 
-// firstExpired returns the request at the head of the queue if it cannot be answered before its deadline within
+// expiredHead returns the request at the head of the queue if it cannot be answered before its deadline within
 // minRemaining, or nil.
-func (c *classQueue) firstExpired(now, minRemaining time.Duration) *Request {
+func (c *classQueue) expiredHead(now, minRemaining time.Duration) *Request {
 	if c.head != nil && c.head.Deadline < now+minRemaining {
 		return c.head
 	}
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -66,15 +66,15 @@
 
 // fakeTarget is a simulated target. It runs jobs in its slots at a speed that varies, and queues those beyond.
 type fakeTarget struct {
-	index       int
-	domain      int
-	slots       int
-	speed       float64
-	straggler   bool
-	reportsZero bool
-	running     []*job
-	waiting     []*job
-	reported    int
+	index            int
+	domain           int
+	slots            int
+	speed            float64
+	straggler        bool
+	reportsZero      bool
+	running          []*job
+	waiting          []*job
+	reportedInFlight int
 }
 
 // policy is a load-balancing policy under test: it decides which target runs a job.
@@ -278,14 +278,14 @@
 
 // finish counts the response of a job, which reaches the caller after callerDelay.
 func (s *simulation) finish(j *job) {
-	took := s.now + s.callerDelay - j.offeredAt
+	latency := s.now + s.callerDelay - j.offeredAt
 	s.answered++
-	onTime := s.deadline == 0 || took <= s.deadline
+	onTime := s.deadline == 0 || latency <= s.deadline
 	if !onTime {
 		s.answeredLate++
 	}
 	if j.offeredAt >= warmUp {
-		_ = s.latency.RecordValue(int64(took))
+		_ = s.latency.RecordValue(int64(latency))
 	}
 	if s.onJobEnd != nil {
 		s.onJobEnd(j, onTime)
@@ -315,9 +315,9 @@
 
 // report updates the load that the target reports, and schedules the next update.
 func (s *simulation) report(t *fakeTarget) {
-	t.reported = len(t.running) + len(t.waiting)
+	t.reportedInFlight = len(t.running) + len(t.waiting)
 	if t.reportsZero {
-		t.reported = 0
+		t.reportedInFlight = 0
 	}
 	s.after(minReportInterval+time.Duration(s.random.Int64N(int64(maxReportInterval-minReportInterval))), func() { s.report(t) })
 }
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -25,7 +25,7 @@
 	configured := map[string]bool{}
 	for _, spec := range specs {
 		configured[spec.Name] = true
-		if i, known := r.byName[spec.Name]; known {
+		if i, found := r.byName[spec.Name]; found {
 			r.updateSpec(now, r.targets[i], spec)
 			continue
 		}
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -41,7 +41,7 @@
 
 // Lookup returns the index of the target of that name, or NoTarget.
 func (r *Router) Lookup(name string) Index {
-	if i, known := r.byName[name]; known {
+	if i, found := r.byName[name]; found {
 		return i
 	}
 	return NoTarget
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -20,9 +20,9 @@
 }
 
 // runRequest starts and finishes a request on a target.
-func runRequest(r *Router, now time.Duration, i Index, took time.Duration, outcome Outcome) {
+func runRequest(r *Router, now time.Duration, i Index, elapsed time.Duration, outcome Outcome) {
 	r.Start(now, i)
-	r.Finish(now+took, i, now, took, outcome)
+	r.Finish(now+elapsed, i, now, elapsed, outcome)
 }
 
 func TestEjectionKeepsHalfOfTargets(t *testing.T) {
@@ -71,11 +71,11 @@
 	r.PopChanges()
 	for now := time.Duration(0); now < 4*time.Second && r.State(0) == Live; now += 20 * time.Millisecond {
 		for i := range 4 {
-			took := 10 * time.Millisecond
+			elapsed := 10 * time.Millisecond
 			if i == 0 {
-				took = 100 * time.Millisecond
+				elapsed = 100 * time.Millisecond
 			}
-			runRequest(r, now, Index(i), took, Succeeded)
+			runRequest(r, now, Index(i), elapsed, Succeeded)
 		}
 		r.Tick(now)
 	}
@@ -149,12 +149,12 @@
 		for range rounds {
 			now += runTime
 			i := r.Pick(now, 0, NoTarget)
-			took := runTime
+			elapsed := runTime
 			if r.Name(i)[:3] == "far" {
 				remote++
-				took += roundTrip
+				elapsed += roundTrip
 			}
-			runRequest(r, now, i, took, Succeeded)
+			runRequest(r, now, i, elapsed, Succeeded)
 			r.Tick(now)
 		}
 		return float64(remote) / float64(rounds)
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -180,9 +180,9 @@
 
 // load returns the estimated number of requests on the target, of this host and of others.
 func (t *target) load(now time.Duration, meanLatency float64) float64 {
-	foreign := t.reportedLoad * decay(now-t.reportedAt, reportTimeConstant)
+	reported := t.reportedLoad * decay(now-t.reportedAt, reportTimeConstant)
 	peers := t.peerInFlight * decay(now-t.peerInFlightAt, peerTimeConstant(meanLatency))
-	return float64(len(t.starts)) + max(foreign, peers)
+	return float64(len(t.starts)) + max(reported, peers)
 }
 
 // inFlightLimit returns how many requests this host may have in flight on the target.
--- a/internal/steering/attempt.go
+++ b/internal/steering/attempt.go
@@ -52,10 +52,10 @@
 }
 
 // attempt sends the request to one target, once.
-func (s *Service) attempt(ctx context.Context, r *Request, excluded string, try backend.Options) (*Response, *failure) {
+func (s *Service) attempt(ctx context.Context, r *Request, excluded string, options backend.Options) (*Response, *failure) {
 	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
-		return s.exchange(ctx, r, v, try)
+		return s.exchange(ctx, r, v, options)
 	case *admission.Refusal:
 		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
@@ -63,14 +63,14 @@
 }
 
 // exchange sends the request to the target that it is assigned to and reads the response.
-func (s *Service) exchange(ctx context.Context, r *Request, a *admission.Assignment, try backend.Options) (*Response, *failure) {
+func (s *Service) exchange(ctx context.Context, r *Request, a *admission.Assignment, options backend.Options) (*Response, *failure) {
 	pool := s.pool(a.Target)
 	if pool == nil {
 		s.finish(a, 0, route.Abandoned)
 		return nil, &failure{kind: failedNotSent, target: a.Target}
 	}
 	started := s.dispatcher.config.Clock()
-	httpResponse, err := pool.Do(newTargetRequest(ctx, r, pool.target.Address), try)
+	httpResponse, err := pool.Do(newTargetRequest(ctx, r, pool.target.Address), options)
 	latency := s.dispatcher.config.Clock() - started
 	if err != nil {
 		return nil, s.connectionFailure(ctx, r, a, err, started)
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -47,9 +47,9 @@
 
 // New returns a Dispatcher without services and a function that closes its connections.
 func New(c Config) (*Dispatcher, func()) {
-	s := &Dispatcher{config: c}
-	s.current.Store(&snapshot{services: map[string]*Service{}})
-	return s, s.close
+	d := &Dispatcher{config: c}
+	d.current.Store(&snapshot{services: map[string]*Service{}})
+	return d, d.close
 }
 
 func (d *Dispatcher) close() {
@@ -89,12 +89,12 @@
 
 // Match returns the rule and the service for a request, and whether both exist.
 func (d *Dispatcher) Match(host, path, method string) (note.Rule, *Service, bool) {
-	v := d.current.Load()
-	rule, found := v.configuration.Match(host, path, method)
+	current := d.current.Load()
+	rule, found := current.configuration.Match(host, path, method)
 	if !found {
 		return rule, nil, false
 	}
-	service := v.services[rule.Service]
+	service := current.services[rule.Service]
 	return rule, service, service != nil
 }
 
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -44,15 +44,15 @@
 func (s *Service) attemptHedged(ctx context.Context, r *Request, excluded string) (*Response, *failure) {
 	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
-		return s.race(ctx, r, v)
+		return s.exchangeHedged(ctx, r, v)
 	case *admission.Refusal:
 		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
 	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
-// race sends an assigned request, and a second attempt in parallel if the first is late.
-func (s *Service) race(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
+// exchangeHedged sends an assigned request, and a second attempt in parallel if the first is late.
+func (s *Service) exchangeHedged(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
 	first, cancelFirst := context.WithCancel(ctx)
 	second, cancelSecond := context.WithCancel(ctx)
 	h := &hedge{service: s, request: r, ctx: second, cancelFirst: cancelFirst, excluded: a.Target, done: make(chan struct{})}
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -233,13 +233,13 @@
 
 // recordOverload adds a record when an overload begins or ends.
 func (s *Service) recordOverload() {
-	overload := s.admission.Overloaded()
-	if overload == s.overloaded {
+	overloaded := s.admission.Overloaded()
+	if overloaded == s.overloaded {
 		return
 	}
-	s.overloaded = overload
+	s.overloaded = overloaded
 	kind := record.OverloadEnded
-	if overload {
+	if overloaded {
 		kind = record.OverloadBegan
 	}
 	s.dispatcher.config.Records.Add(record.Record{
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -40,8 +40,8 @@
 // resumableETag returns the strong ETag of a response that can be resumed by a Range request, or an empty string.
 func resumableETag(r *Request, httpResponse *http.Response) string {
 	etag := httpResponse.Header.Get("ETag")
-	ranged := httpResponse.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
-	if r.Method != http.MethodGet || httpResponse.StatusCode != http.StatusOK || !ranged || strings.HasPrefix(etag, "W/") {
+	acceptsRanges := httpResponse.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
+	if r.Method != http.MethodGet || httpResponse.StatusCode != http.StatusOK || !acceptsRanges || strings.HasPrefix(etag, "W/") {
 		return ""
 	}
 	return etag
@@ -89,9 +89,9 @@
 		return false
 	}
 	start := "bytes " + strconv.FormatInt(b.read, 10) + "-"
-	same := response.Status == http.StatusPartialContent && response.Header.Get("ETag") == b.etag &&
+	sameRepresentation := response.Status == http.StatusPartialContent && response.Header.Get("ETag") == b.etag &&
 		strings.HasPrefix(response.Header.Get("Content-Range"), start) && strings.HasSuffix(response.Header.Get("Content-Range"), "/"+strconv.FormatInt(b.total, 10))
-	if !same {
+	if !sameRepresentation {
 		// The other target returned another representation or no range; its response must not be mixed in.
 		_ = response.Body.Close()
 		return false
