--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -18,8 +18,8 @@
 // TestMain runs the tests with a fixed seed for the property tests.
 func TestMain(m *testing.M) { os.Exit(fixedseed.Main(m)) }
 
-// Requirements on the behavior under overload: the minimum goodput as a share of the capacity, the time after the
-// overload until latency is normal again, and the minimum share of high-class requests that are answered.
+// Requirements on the behavior under an overload of overloadSeconds: the minimum goodput as a share of the capacity, the
+// time after the overload until latency is normal again, and the minimum share of high-class requests that are answered.
 const (
 	minGoodput           = 0.95
 	recoveryTime         = 2 * time.Second
@@ -99,7 +99,7 @@
 			o := runOverload(c.factor, c.retry)
 			goodput := float64(o.answeredInOverload) / (o.capacity() * overloadSeconds)
 			high := float64(o.highAnswered) / float64(o.highOffered)
-			t.Logf("%.0fx for %d s, callers that retry %t: goodput %.3f of capacity, high class answered %.4f, slowest answer from %v after its end %v, refused %d",
+			t.Logf("%.0fx for %d s, callers that retry %t: goodput %.3f of capacity, high class answered %.4f, slowest response from %v after its end %v, refused %d",
 				c.factor, overloadSeconds, c.retry, goodput, high, recoveryTime, o.maxLatencyAfter, o.refused)
 			is.True(goodput >= minGoodput)
 			is.True(high >= minHighClassAnswered)
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,5 +1,5 @@
 // Package admission implements admission control for the requests of one service. A request is assigned to a target
-// only once the target has a free slot; until then it waits in a bounded queue that classes share by weight. Requests
+// only once package route picks one with a free slot; until then it waits in a bounded queue that classes share by weight. Requests
 // that cannot meet their deadline are refused at once rather than left to time out in the queue.
 package admission
 
@@ -40,7 +40,7 @@
 	refusal        Refusal
 	previous, next *Request
 	classQueue     *classQueue
-	// wasQueued is set once the request has been queued. Decided is signalled only then, because Submit itself
+	// wasQueued is set once the request has been queued. Decided is signaled only then, because Submit itself
 	// sets the decision of a request that is not queued.
 	wasQueued bool
 }
@@ -59,7 +59,8 @@
 	Start  time.Duration
 }
 
-// Refusal is the decision not to run the request.
+// Refusal is the decision not to run the request. RetryAfter is how long the caller should wait before a
+// retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -136,7 +137,8 @@
 }
 
 // displace makes room in a full queue by refusing the newest request of the class that is furthest over its share.
-// It refuses r instead if r belongs to that class or would put its own class as far over its share.
+// It refuses r instead if r belongs to that class or would put its own class at least as far over its
+// share.
 func (c *Controller) displace(now time.Duration, r *Request) {
 	worst := c.queue.furthestOverShare()
 	ownQueue := c.queue.classQueue(r.Class)
@@ -194,7 +196,7 @@
 }
 
 // Finish ends an assigned request and assigns queued requests to the slots that became free.
-// Latency is the time from the assignment to the response.
+// Latency is the time that the target took to respond.
 func (c *Controller) Finish(now time.Duration, a *Assignment, latency time.Duration, outcome route.Outcome) {
 	if i := c.router.Lookup(a.Target); i != route.NoTarget {
 		c.router.Finish(now, i, a.Start, latency, outcome)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// classQueue is the FIFO queue of one class. It is an intrusive list of the requests, so that queuing allocates
+// classQueue is the first-in, first-out queue of one class. It is an intrusive list of the requests, so that queuing allocates
 // nothing.
 type classQueue struct {
 	head, tail *Request
@@ -99,7 +99,7 @@
 	return worst
 }
 
-// aheadOf returns how many queued requests would be served before a new request of the class.
+// aheadOf estimates how many queued requests would be served before a new request of the class.
 func (q *queue) aheadOf(class Class, weight int) int {
 	ownQueue := q.classQueue(class)
 	share := float64(ownQueue.size+1) / max(1, float64(weight))
@@ -114,8 +114,7 @@
 	return int(sum)
 }
 
-// expiredHead returns the request at the head of the queue if it cannot be answered before its deadline within
-// minRemaining, or nil.
+// expiredHead returns the request at the head of the queue if less than minRemaining is left until its deadline, or nil.
 func (c *classQueue) expiredHead(now, minRemaining time.Duration) *Request {
 	if c.head != nil && c.head.Deadline < now+minRemaining {
 		return c.head
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -17,16 +17,20 @@
 	oneWayDelay    time.Duration
 	// callerDelay is the one-way network delay between a caller and an entry host, oneWayDelay that between an entry
 	// host and a target in another failure domain.
-	callerDelay     time.Duration
+	callerDelay time.Duration
+	// utilization is the offered load as a share of the capacity; stepUtilization replaces it in the middle third if it is
+	// not 0.
 	utilization     float64
 	stepUtilization float64
-	noise           bool
-	straggler       bool
-	falseReporter   bool
-	idempotent      bool
-	length          time.Duration
-	deadline        time.Duration
-	seed            uint64
+	// noise slows targets down at random, straggler makes target 0 slow, and falseReporter makes target 1 report no load.
+	noise         bool
+	straggler     bool
+	falseReporter bool
+	// idempotent jobs may be hedged.
+	idempotent bool
+	length     time.Duration
+	deadline   time.Duration
+	seed       uint64
 }
 
 // Parameters of the simulation. The work of a job is log-normally distributed with the standard deviation workSigma of
@@ -46,12 +50,13 @@
 
 // job is one attempt of a request.
 type job struct {
-	offeredAt  time.Duration
-	work       float64
-	remaining  float64
-	target     *fakeTarget
-	resumedAt  time.Duration
-	speed      float64
+	offeredAt time.Duration
+	work      float64
+	remaining float64
+	target    *fakeTarget
+	resumedAt time.Duration
+	speed     float64
+	// epoch counts changes of the job's speed. A completion that was scheduled in an earlier epoch is ignored.
 	epoch      int
 	class      int
 	retries    int
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -39,14 +39,16 @@
 
 // Outcomes of requests.
 const (
-	// Succeeded means that a complete response arrived, whatever its status.
+	// Succeeded means that a complete response arrived. Its status may report an error of the application.
 	Succeeded Outcome = iota
-	// Failed means that the connection failed or broke, or that the target responded that it was unavailable.
+	// Failed means that the connection could not be opened, broke or timed out, or that the target responded that it was
+	// unavailable.
 	Failed
-	// Refused means that the target was not asked to run the request or responded that it did not run it.
+	// Refused means that the target responded that it did not run the request, or that the request was not sent because
+	// all connections to the target were in use.
 	Refused
-	// Abandoned means that this host or the caller canceled the request. It is no evidence of the target's health, but
-	// its age counts as a latency if it is above the expected one.
+	// Abandoned means that this host or the caller canceled the request, or that its failure does not count against the
+	// target. It is no evidence of the target's health, but its age counts as a latency if it is above the expected one.
 	Abandoned
 )
 
--- a/internal/route/lifecycle.go
+++ b/internal/route/lifecycle.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Parameters of slow start and of the ejection of unhealthy targets. A target is ejected for ejectDuration after
-// failuresToEject consecutive failures, or if its mean latency has been stragglerRatio times that of the service for
-// stragglerDelay.
+// Parameters of slow start and of the ejection of unhealthy targets. A target is ejected after failuresToEject
+// consecutive failures, or when its mean latency without network time has been at least stragglerRatio times the mean
+// latency of the service for stragglerDelay. An ejection lasts ejectDuration at first, and twice as long each time that
+// the target is ejected again, up to maxEjectDuration. The slow start of a new or returning target takes rampDuration.
 const (
 	rampDuration     = 2 * time.Second
 	failuresToEject  = 3
@@ -18,8 +19,8 @@
 )
 
 // SetTargets replaces the set of targets. Targets that remain keep their state and measurements; new ones start with
-// few requests and ramp up, unless the router was empty. Targets that are not in specs are drained, and removed once
-// they have no requests in flight.
+// few requests and ramp up, unless the router was empty. Targets that are not in specs are withdrawn: they are drained,
+// and removed once they have no requests in flight.
 func (r *Router) SetTargets(now time.Duration, specs []Spec) {
 	initial := len(r.targets) == 0
 	configured := map[string]bool{}
@@ -88,7 +89,7 @@
 }
 
 // eject stops sending requests to a target for a time that doubles with each consecutive ejection, up to
-// maxEjectDuration. It does nothing if too few targets would remain.
+// maxEjectDuration. It does nothing if the target is ejected or draining already, or if too few targets would remain.
 func (r *Router) eject(now time.Duration, t *target, cause Cause) {
 	if t.state == Ejected || t.state == Draining || !r.mayEject() {
 		return
@@ -133,6 +134,8 @@
 	r.removeWithdrawn()
 }
 
+// checkStraggler ejects a live target whose latency has been too high for stragglerDelay. It resets the count of
+// consecutive ejections of a target that is not slow and has been live for more than maxEjectDuration.
 func (r *Router) checkStraggler(now time.Duration, t *target) {
 	// Network time is subtracted, so that a target in another region is not taken for a straggler.
 	if r.meanLatency == 0 || t.slowMean-t.spec.RoundTrip.Seconds() < stragglerRatio*r.meanLatency || now-t.latencyAt > slowTimeConstant {
@@ -165,9 +168,10 @@
 	return changes
 }
 
-// ApplyProbe applies the draining flag that a probe of the target's report path returned. A target that is draining
-// because it said so in a response ramps up again only after a probe has first confirmed the draining and a later probe
-// has revoked it. A report path that has never confirmed the draining may be stale or wrong, so it is ignored.
+// ApplyProbe applies the draining flag that a probe of the target's report path returned. A target that was drained
+// because it reported draining, or refused a request and closed the connection, ramps up again only after one probe has
+// returned the draining flag and a later one has not. A report path that has never returned the flag may be stale or
+// wrong, so it does not end the draining.
 func (r *Router) ApplyProbe(now time.Duration, i Index, draining bool) {
 	t := r.targets[i]
 	switch {
@@ -179,7 +183,8 @@
 	}
 }
 
-// Stable reports whether no target is ramping up, ejected or waiting to be removed. Tick then has no timer to run.
+// Stable reports whether no target is ramping up, ejected or waiting to be removed. Tick then only checks for
+// stragglers.
 func (r *Router) Stable() bool {
 	return !slices.ContainsFunc(r.targets, func(t *target) bool {
 		return t.state == Ramping || t.state == Ejected || t.stateCause == CauseWithdrawn
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -9,7 +9,8 @@
 	// maxScoreRatio is by how many mean latencies of the service a target's score may exceed the expected wait in the
 	// queue. Beyond it the request is better queued until a faster target has a free slot.
 	maxScoreRatio = 2.0
-	// loadWeight is the relative increase of the score at full load, tieBreakWeight that by the random part.
+	// loadWeight is the relative increase of the expected latency when all slots are in use, tieBreakWeight the maximum
+	// relative increase by the random part.
 	loadWeight     = 0.1
 	tieBreakWeight = 0.02
 	// defaultLatency is the latency in seconds that is assumed before any was measured.
@@ -20,7 +21,8 @@
 	outlierClipRatio = 3
 )
 
-// Pick returns the target for one more request, or NoTarget if the request should wait.
+// Pick returns the target for one more request, or NoTarget if the request should wait. It chooses the lowest score
+// among the targets with capacity left. While this host has no request in flight, no score is too high.
 // Queued is the number of requests queued before it; excluded is a target not to use, or NoTarget.
 func (r *Router) Pick(now time.Duration, queued int, excluded Index) Index {
 	best, bestScore := NoTarget, 0.0
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -18,6 +18,7 @@
 
 // Config configures a Router.
 type Config struct {
+	// Random breaks ties between targets.
 	Random *rand.Rand
 	// Overcommit is the number of requests beyond its slots that a target may hold. If it is negative, the number is
 	// computed from the target's round-trip time.
@@ -80,7 +81,7 @@
 }
 
 // Finish records the end of a request that started at the given time.
-// Elapsed is the time to the response; it is less than the time since the start if the caller read the body slowly.
+// Elapsed is the time to the response; it may be less than the time since the start if the caller read the body slowly.
 func (r *Router) Finish(now time.Duration, i Index, start, elapsed time.Duration, outcome Outcome) {
 	t := r.targets[i]
 	t.removeStart(start)
@@ -113,8 +114,9 @@
 	r.meanLatency += (min(latency, outlierClipRatio*r.meanLatency) - r.meanLatency) * meanLatencyGain
 }
 
-// ApplyReport applies a target's load report and reports whether it was accepted. A fresh report of fewer requests than
-// this host alone has in flight contradicts it; the target's reports are then ignored for reportDistrustTime.
+// ApplyReport applies a target's load report and reports whether it was accepted. A report that the target is draining
+// is always accepted. A load less than 5 ms old that is at least two requests below what this host alone has in flight
+// is contradictory: load reports of the target are then ignored for reportDistrustTime.
 func (r *Router) ApplyReport(now time.Duration, i Index, report LoadReport) bool {
 	t := r.targets[i]
 	if report.Draining {
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -56,7 +56,8 @@
 	stateSince, ejectedUntil time.Duration
 	// stateCause is the cause of the last state change.
 	stateCause Cause
-	// ejections counts consecutive ejections, for the exponential back-off.
+	// ejections counts consecutive ejections, for the exponential back-off. It restarts from 0 after the target has been
+	// live for more than maxEjectDuration.
 	ejections int
 	// starts holds the start times of this host's requests in flight.
 	starts []time.Duration
@@ -78,7 +79,8 @@
 	// peerInFlight is the sum of the in-flight counts that other entry hosts sent.
 	peerInFlight   float64
 	peerInFlightAt time.Duration
-	// drainConfirmed is set once a probe of the target's report path has confirmed that the target is draining.
+	// drainConfirmed is set once a probe of the target's report path has confirmed that the target is draining, until a
+	// later probe ends the draining.
 	drainConfirmed bool
 	// distrustReportsUntil is when load reports are accepted again after one that contradicted this host's count.
 	distrustReportsUntil time.Duration
@@ -148,7 +150,7 @@
 }
 
 // missingResponseFactor returns a factor of 1 or more that grows with the number of responses that have become due since
-// the last one arrived. It detects a slowdown of the whole target, as by a noisy neighbor on its machine, sooner than
+// a request on the target last ended. It detects a slowdown of the whole target, as by a noisy neighbor on its machine, sooner than
 // any single overdue request does.
 func (t *target) missingResponseFactor(now time.Duration, meanLatency float64) float64 {
 	due := 0.0
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -110,6 +110,7 @@
 	return busy
 }
 
+// noteNumber returns the number of the configuration in force, which is that of its release note.
 func (d *Dispatcher) noteNumber() int { return d.current.Load().configuration.Number }
 
 // domains assigns indices to the callers' failure domains in the order in which they are first seen.
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -51,7 +51,7 @@
 	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
-// exchangeHedged sends an assigned request, and a second attempt in parallel if the first is late.
+// exchangeHedged sends an assigned request, and makes a second attempt in parallel if the first is late.
 func (s *Service) exchangeHedged(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
 	first, cancelFirst := context.WithCancel(ctx)
 	second, cancelSecond := context.WithCancel(ctx)
--- a/internal/steering/probe.go
+++ b/internal/steering/probe.go
@@ -24,8 +24,8 @@
 	target  string
 }
 
-// Probes returns the probes that are due: of targets that have had neither a response nor a probe for some time, as
-// idle, ejected and draining ones.
+// Probes returns the probes that are due: of targets whose latency has not been measured and that have not been probed
+// for probeIdleTime, such as idle, ejected and draining ones, as far as the probe credit of their service allows.
 func (d *Dispatcher) Probes() []Probe {
 	var list []Probe
 	for _, service := range d.Services() {
@@ -54,7 +54,8 @@
 	return list
 }
 
-// Apply applies the load report and HTTP status that the target returned to the probe.
+// Apply applies the load report that the target returned to the probe. Only a response with HTTP status 200 can confirm
+// or end the target's draining, as described at route.Router.ApplyProbe.
 func (p Probe) Apply(report route.LoadReport, status int) {
 	p.service.applyReport(p.target, report)
 	if status == http.StatusOK {
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -132,7 +132,7 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// pool returns the connection pool of a target, or nil if the target has been withdrawn from the configuration.
+// pool returns the connection pool of a target, or nil if the target has been removed.
 func (s *Service) pool(target string) *targetPool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -100,7 +100,8 @@
 	return true
 }
 
-// finish frees the target's slot. Only the first call has an effect.
+// finish closes the current body and, on its first call, frees the slot of the target that the response came from. The
+// body of a response that resumes it frees the slot of its own target.
 func (b *resumableBody) finish(outcome route.Outcome) {
 	// The result of the body is decided already; Close only returns the connection to the pool.
 	_ = b.body.Close()
