--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -99,7 +99,7 @@
 			o := runOverload(c.factor, c.retry)
 			goodput := float64(o.answeredInOverload) / (o.capacity() * overloadSeconds)
 			high := float64(o.highAnswered) / float64(o.highOffered)
-			t.Logf("%.0fx for %d s, callers that retry %t: goodput %.3f of capacity, high class answered %.4f, slowest response from %v after its end %v, refused %d",
+			t.Logf("%.0fx for %d s, callers that retry %t: goodput %.3f of capacity, high class answered %.4f, slowest response later than %v after the overload %v, refused %d",
 				c.factor, overloadSeconds, c.retry, goodput, high, recoveryTime, o.maxLatencyAfter, o.refused)
 			is.True(goodput >= minGoodput)
 			is.True(high >= minHighClassAnswered)
@@ -166,7 +166,7 @@
 				for i := range r.Size() {
 					inFlightOnTarget := r.InFlight(route.Index(i))
 					if inFlightOnTarget > 2+2 {
-						t.Fatalf("target %d holds %d requests in 2 slots", i, inFlightOnTarget)
+						t.Fatalf("target %d has %d requests in flight, more than its 2 slots and an overcommit of 2", i, inFlightOnTarget)
 					}
 					sum += inFlightOnTarget
 				}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,6 @@
 // Package admission implements admission control for the requests of one service. A request is assigned to a target
-// only once package route picks one with a free slot; until then it waits in a bounded queue that classes share by weight. Requests
-// that cannot meet their deadline are refused at once rather than left to time out in the queue.
+// only once package route picks one with a free slot; until then it waits in a bounded queue that classes share by
+// weight. Requests that cannot meet their deadline are refused at once rather than left to time out in the queue.
 package admission
 
 import (
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -239,8 +239,8 @@
 // hedgeBudgetRatio is the maximum ratio of hedges to requests. It is the default retry ratio of a service.
 const hedgeBudgetRatio = 0.1
 
-// scheduleHedge schedules a second attempt of an assigned job after hedgeRatio times the mean latency. The attempt starts
-// if there is no response by then, no request is queued and the budget allows it.
+// scheduleHedge schedules a second attempt of an assigned job after hedgeRatio times the mean latency. The attempt
+// starts if there is no response by then, no request is queued and the budget allows it.
 func (p *lateBinding) scheduleHedge(s *simulation, h *homeHost, j *job) {
 	if p.hedgeRatio == 0 || j.otherAttempt != nil {
 		return
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -57,8 +57,8 @@
 	{"probe pool", newEarlyBindingPolicy(chooseProbed, 2)},
 }
 
-// variations are alternative settings of the briarcroft policy: a fixed overcommit of slots, no load reports, and several
-// homes per service, which exchange in-flight counts at the given interval or, if blind, not at all.
+// variations are alternative settings of the briarcroft policy: a fixed overcommit of slots, no load reports, and
+// several homes per service, which exchange in-flight counts at the given interval or, if blind, not at all.
 var variations = []namedPolicy{
 	{"slots +0", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 0, reports: true})},
 	{"slots +1", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 1, reports: true})},
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// classQueue is the first-in, first-out queue of one class. It is an intrusive list of the requests, so that queuing allocates
-// nothing.
+// classQueue is the first-in, first-out queue of one class. It is an intrusive list of the requests, so that queuing
+// allocates nothing.
 type classQueue struct {
 	head, tail *Request
 	size       int
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -150,8 +150,8 @@
 }
 
 // missingResponseFactor returns a factor of 1 or more that grows with the number of responses that have become due since
-// a request on the target last ended. It detects a slowdown of the whole target, as by a noisy neighbor on its machine, sooner than
-// any single overdue request does.
+// a request on the target last ended. It detects a slowdown of the whole target, as by a noisy neighbor on its machine,
+// sooner than any single overdue request does.
 func (t *target) missingResponseFactor(now time.Duration, meanLatency float64) float64 {
 	due := 0.0
 	for _, start := range t.starts {
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -16,10 +16,10 @@
 	// minHedgeDelay.
 	hedgeRatio    = 2.5
 	minHedgeDelay = 5 * time.Millisecond
-	// silentRatio is the multiple of the target's expected latency after which a connection without a response counts
+	// unresponsiveRatio is the multiple of the target's expected latency after which a connection without a response counts
 	// as unresponsive, but not before minSilentTime.
-	silentRatio   = 8
-	minSilentTime = 100 * time.Millisecond
+	unresponsiveRatio   = 8
+	minUnresponsiveTime = 100 * time.Millisecond
 	// defaultHedgeDelay is the delay of the second attempt while no latency has been measured.
 	defaultHedgeDelay = 100 * time.Millisecond
 )
@@ -74,7 +74,7 @@
 		// The second attempt had its response first; that response is used.
 		_ = response.Body.Close()
 	}
-	s.closeIdleIfSilent(failed, time.Since(start))
+	s.closeIdleIfUnresponsive(failed, time.Since(start))
 	if h.failure == nil {
 		return cancelOnClose(h.response, cancelSecond), nil
 	}
@@ -121,10 +121,10 @@
 	return max(minHedgeDelay, time.Duration(hedgeRatio*float64(meanLatency)))
 }
 
-// closeIdleIfSilent closes the idle connections to a target that has sent no response for so long that they are
+// closeIdleIfUnresponsive closes the idle connections to a target that has sent no response for so long that they are
 // probably broken too.
-func (s *Service) closeIdleIfSilent(failed *failure, elapsed time.Duration) {
-	if failed == nil || failed.target == "" || elapsed < max(minSilentTime, silentRatio*s.expectedLatency(failed.target)) {
+func (s *Service) closeIdleIfUnresponsive(failed *failure, elapsed time.Duration) {
+	if failed == nil || failed.target == "" || elapsed < max(minUnresponsiveTime, unresponsiveRatio*s.expectedLatency(failed.target)) {
 		return
 	}
 	if pool := s.pool(failed.target); pool != nil {
