--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -23,7 +23,8 @@
 // Request is one request submitted to a Controller. Once its decision is an *Assignment, the submitter must end it with
 // Controller.Finish.
 type Request struct {
-	Class  Class
+	Class Class
+	// Weight is the weight of the class in the queue, relative to that of other classes. The queue counts less than 1 as 1.
 	Weight int
 	Domain Domain
 	// Deadline is the latest time for the response, on the clock that is passed to the Controller's methods.
@@ -59,8 +60,7 @@
 	Start  time.Duration
 }
 
-// Refusal is the decision not to run the request. RetryAfter is how long the caller should wait before a
-// retry.
+// Refusal is the decision not to run the request. RetryAfter is how long the caller should wait before a retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -137,8 +137,7 @@
 }
 
 // displace makes room in a full queue by refusing the newest request of the class that is furthest over its share.
-// It refuses r instead if r belongs to that class or would put its own class at least as far over its
-// share.
+// It refuses r instead if r belongs to that class or would put its own class at least as far over its share.
 func (c *Controller) displace(now time.Duration, r *Request) {
 	worst := c.queue.furthestOverShare()
 	ownQueue := c.queue.classQueue(r.Class)
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -142,7 +142,7 @@
 	return n
 }
 
-// names returns the names of the failure domains by index.
+// names returns the names of the failure domains by index. Domains that share the last index are not included.
 func (d *domains) names() map[admission.Domain]string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -16,8 +16,8 @@
 	// minHedgeDelay.
 	hedgeRatio    = 2.5
 	minHedgeDelay = 5 * time.Millisecond
-	// unresponsiveRatio is the multiple of the target's expected latency after which a connection without a response counts
-	// as unresponsive, but not before minSilentTime.
+	// unresponsiveRatio is the multiple of the target's expected latency after which a connection without a response
+	// counts as unresponsive, but not before minUnresponsiveTime.
 	unresponsiveRatio   = 8
 	minUnresponsiveTime = 100 * time.Millisecond
 	// defaultHedgeDelay is the delay of the second attempt while no latency has been measured.
@@ -29,12 +29,15 @@
 type hedge struct {
 	service *Service
 	request *Request
-	ctx     context.Context
+	// ctx is the context of the second attempt.
+	ctx context.Context
 	// cancelFirst cancels the first attempt.
 	cancelFirst context.CancelFunc
-	excluded    string
+	// excluded is the target of the first attempt.
+	excluded string
 	// winner is 0 until an attempt has a response, then 1 for the first attempt or 2 for the second.
-	winner   atomic.Int32
+	winner atomic.Int32
+	// done is closed when the second attempt has ended; response or failure is then its result.
 	done     chan struct{}
 	response *Response
 	failure  *failure
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -25,6 +25,7 @@
 	pools      map[string]*targetPool
 	classes    map[string]admission.Class
 	spec       note.Service
+	// overloaded is the state of the admission controller that was last recorded.
 	overloaded bool
 	// requestCount counts requests; retries and hedges are not included.
 	requestCount int64
@@ -32,6 +33,8 @@
 	probeCredit float64
 }
 
+// targetPool is the connection pool of a target, with the function that closes it and the configuration that it was
+// opened for.
 type targetPool struct {
 	*backend.Pool
 	close  func()
@@ -132,7 +135,8 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// pool returns the connection pool of a target, or nil if the target has been removed.
+// pool returns the connection pool of a target, or nil if the target has been removed since the
+// request was assigned.
 func (s *Service) pool(target string) *targetPool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
