--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,6 @@
 // Package admission implements admission control for the requests of one service. A request is assigned to a target
-// only once the target has a free slot; until then it waits in a bounded queue that classes share by weight. Requests
-// that cannot meet their deadline are refused at once rather than left to time out in the queue.
+// only once package route picks one with a free slot; until then it waits in a bounded queue that classes share by
+// weight. Requests that cannot meet their deadline are refused at once rather than left to time out in the queue.
 package admission
 
 import (
@@ -23,7 +23,8 @@
 // Request is one request submitted to a Controller. Once its decision is an *Assignment, the submitter must end it with
 // Controller.Finish.
 type Request struct {
-	Class  Class
+	Class Class
+	// Weight is the weight of the class in the queue, relative to that of other classes. The queue counts less than 1 as 1.
 	Weight int
 	Domain Domain
 	// Deadline is the latest time for the response, on the clock that is passed to the Controller's methods.
@@ -40,7 +41,7 @@
 	refusal        Refusal
 	previous, next *Request
 	classQueue     *classQueue
-	// wasQueued is set once the request has been queued. Decided is signalled only then, because Submit itself
+	// wasQueued is set once the request has been queued. Decided is signaled only then, because Submit itself
 	// sets the decision of a request that is not queued.
 	wasQueued bool
 }
@@ -59,7 +60,7 @@
 	Start  time.Duration
 }
 
-// Refusal is the decision not to run the request.
+// Refusal is the decision not to run the request. RetryAfter is how long the caller should wait before a retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -136,7 +137,7 @@
 }
 
 // displace makes room in a full queue by refusing the newest request of the class that is furthest over its share.
-// It refuses r instead if r belongs to that class or would put its own class as far over its share.
+// It refuses r instead if r belongs to that class or would put its own class at least as far over its share.
 func (c *Controller) displace(now time.Duration, r *Request) {
 	worst := c.queue.furthestOverShare()
 	ownQueue := c.queue.classQueue(r.Class)
@@ -194,7 +195,7 @@
 }
 
 // Finish ends an assigned request and assigns queued requests to the slots that became free.
-// Latency is the time from the assignment to the response.
+// Latency is the time that the target took to respond.
 func (c *Controller) Finish(now time.Duration, a *Assignment, latency time.Duration, outcome route.Outcome) {
 	if i := c.router.Lookup(a.Target); i != route.NoTarget {
 		c.router.Finish(now, i, a.Start, latency, outcome)
@@ -227,7 +228,7 @@
 func (c *Controller) refuseExpired(now time.Duration) {
 	meanLatency := c.router.MeanLatency()
 	for _, class := range c.queue.classes {
-		for r := class.firstExpired(now, meanLatency); r != nil; r = class.firstExpired(now, meanLatency) {
+		for r := class.expiredHead(now, meanLatency); r != nil; r = class.expiredHead(now, meanLatency) {
 			c.queue.remove(r)
 			c.overloaded = true
 			c.refuse(r, ReasonDeadlineCannotBeMet, c.predictWait(now, c.queue.size))
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -57,7 +57,8 @@
 	{"probe pool", newEarlyBindingPolicy(chooseProbed, 2)},
 }
 
-// variations are alternative settings of the briarcroft policy.
+// variations are alternative settings of the briarcroft policy: a fixed overcommit of slots, no load reports, and
+// several homes per service, which exchange in-flight counts at the given interval or, if blind, not at all.
 var variations = []namedPolicy{
 	{"slots +0", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 0, reports: true})},
 	{"slots +1", newLateBindingPolicy(lateBindingConfig{homes: 1, overcommit: 1, reports: true})},
@@ -121,8 +122,8 @@
 		m.answered += s.answered
 		m.refused += s.refused
 		probes += s.policy.probeCount()
-		if g, isLateBinding := s.policy.(*lateBinding); isLateBinding {
-			countMessages += g.countMessages
+		if binding, isLateBinding := s.policy.(*lateBinding); isLateBinding {
+			countMessages += binding.countMessages
 		}
 	}
 	requests := float64(max(1, m.answered+m.refused))
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -17,16 +17,20 @@
 	oneWayDelay    time.Duration
 	// callerDelay is the one-way network delay between a caller and an entry host, oneWayDelay that between an entry
 	// host and a target in another failure domain.
-	callerDelay     time.Duration
+	callerDelay time.Duration
+	// utilization is the offered load as a share of the capacity; stepUtilization replaces it in the middle third if it is
+	// not 0.
 	utilization     float64
 	stepUtilization float64
-	noise           bool
-	straggler       bool
-	falseReporter   bool
-	idempotent      bool
-	length          time.Duration
-	deadline        time.Duration
-	seed            uint64
+	// noise slows targets down at random, straggler makes target 0 slow, and falseReporter makes target 1 report no load.
+	noise         bool
+	straggler     bool
+	falseReporter bool
+	// idempotent jobs may be hedged.
+	idempotent bool
+	length     time.Duration
+	deadline   time.Duration
+	seed       uint64
 }
 
 // Parameters of the simulation. The work of a job is log-normally distributed with the standard deviation workSigma of
@@ -46,12 +50,13 @@
 
 // job is one attempt of a request.
 type job struct {
-	offeredAt  time.Duration
-	work       float64
-	remaining  float64
-	target     *fakeTarget
-	resumedAt  time.Duration
-	speed      float64
+	offeredAt time.Duration
+	work      float64
+	remaining float64
+	target    *fakeTarget
+	resumedAt time.Duration
+	speed     float64
+	// epoch counts changes of the job's speed. A completion that was scheduled in an earlier epoch is ignored.
 	epoch      int
 	class      int
 	retries    int
@@ -66,15 +71,15 @@
 
 // fakeTarget is a simulated target. It runs jobs in its slots at a speed that varies, and queues those beyond.
 type fakeTarget struct {
-	index       int
-	domain      int
-	slots       int
-	speed       float64
-	straggler   bool
-	reportsZero bool
-	running     []*job
-	waiting     []*job
-	reported    int
+	index            int
+	domain           int
+	slots            int
+	speed            float64
+	straggler        bool
+	reportsZero      bool
+	running          []*job
+	waiting          []*job
+	reportedInFlight int
 }
 
 // policy is a load-balancing policy under test: it decides which target runs a job.
@@ -278,14 +283,14 @@
 
 // finish counts the response of a job, which reaches the caller after callerDelay.
 func (s *simulation) finish(j *job) {
-	took := s.now + s.callerDelay - j.offeredAt
+	latency := s.now + s.callerDelay - j.offeredAt
 	s.answered++
-	onTime := s.deadline == 0 || took <= s.deadline
+	onTime := s.deadline == 0 || latency <= s.deadline
 	if !onTime {
 		s.answeredLate++
 	}
 	if j.offeredAt >= warmUp {
-		_ = s.latency.RecordValue(int64(took))
+		_ = s.latency.RecordValue(int64(latency))
 	}
 	if s.onJobEnd != nil {
 		s.onJobEnd(j, onTime)
@@ -315,9 +320,9 @@
 
 // report updates the load that the target reports, and schedules the next update.
 func (s *simulation) report(t *fakeTarget) {
-	t.reported = len(t.running) + len(t.waiting)
+	t.reportedInFlight = len(t.running) + len(t.waiting)
 	if t.reportsZero {
-		t.reported = 0
+		t.reportedInFlight = 0
 	}
 	s.after(minReportInterval+time.Duration(s.random.Int64N(int64(maxReportInterval-minReportInterval))), func() { s.report(t) })
 }
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -56,7 +56,8 @@
 	stateSince, ejectedUntil time.Duration
 	// stateCause is the cause of the last state change.
 	stateCause Cause
-	// ejections counts consecutive ejections, for the exponential back-off.
+	// ejections counts consecutive ejections, for the exponential back-off. It restarts from 0 after the target has been
+	// live for more than maxEjectDuration.
 	ejections int
 	// starts holds the start times of this host's requests in flight.
 	starts []time.Duration
@@ -78,7 +79,8 @@
 	// peerInFlight is the sum of the in-flight counts that other entry hosts sent.
 	peerInFlight   float64
 	peerInFlightAt time.Duration
-	// drainConfirmed is set once a probe of the target's report path has confirmed that the target is draining.
+	// drainConfirmed is set once a probe of the target's report path has confirmed that the target is draining, until a
+	// later probe ends the draining.
 	drainConfirmed bool
 	// distrustReportsUntil is when load reports are accepted again after one that contradicted this host's count.
 	distrustReportsUntil time.Duration
@@ -148,8 +150,8 @@
 }
 
 // missingResponseFactor returns a factor of 1 or more that grows with the number of responses that have become due since
-// the last one arrived. It detects a slowdown of the whole target, as by a noisy neighbor on its machine, sooner than
-// any single overdue request does.
+// a request on the target last ended. It detects a slowdown of the whole target, as by a noisy neighbor on its machine,
+// sooner than any single overdue request does.
 func (t *target) missingResponseFactor(now time.Duration, meanLatency float64) float64 {
 	due := 0.0
 	for _, start := range t.starts {
@@ -180,9 +182,9 @@
 
 // load returns the estimated number of requests on the target, of this host and of others.
 func (t *target) load(now time.Duration, meanLatency float64) float64 {
-	foreign := t.reportedLoad * decay(now-t.reportedAt, reportTimeConstant)
+	reported := t.reportedLoad * decay(now-t.reportedAt, reportTimeConstant)
 	peers := t.peerInFlight * decay(now-t.peerInFlightAt, peerTimeConstant(meanLatency))
-	return float64(len(t.starts)) + max(foreign, peers)
+	return float64(len(t.starts)) + max(reported, peers)
 }
 
 // inFlightLimit returns how many requests this host may have in flight on the target.
--- a/internal/steering/dispatcher.go
+++ b/internal/steering/dispatcher.go
@@ -47,9 +47,9 @@
 
 // New returns a Dispatcher without services and a function that closes its connections.
 func New(c Config) (*Dispatcher, func()) {
-	s := &Dispatcher{config: c}
-	s.current.Store(&snapshot{services: map[string]*Service{}})
-	return s, s.close
+	d := &Dispatcher{config: c}
+	d.current.Store(&snapshot{services: map[string]*Service{}})
+	return d, d.close
 }
 
 func (d *Dispatcher) close() {
@@ -89,12 +89,12 @@
 
 // Match returns the rule and the service for a request, and whether both exist.
 func (d *Dispatcher) Match(host, path, method string) (note.Rule, *Service, bool) {
-	v := d.current.Load()
-	rule, found := v.configuration.Match(host, path, method)
+	current := d.current.Load()
+	rule, found := current.configuration.Match(host, path, method)
 	if !found {
 		return rule, nil, false
 	}
-	service := v.services[rule.Service]
+	service := current.services[rule.Service]
 	return rule, service, service != nil
 }
 
@@ -110,6 +110,7 @@
 	return busy
 }
 
+// noteNumber returns the number of the configuration in force, which is that of its release note.
 func (d *Dispatcher) noteNumber() int { return d.current.Load().configuration.Number }
 
 // domains assigns indices to the callers' failure domains in the order in which they are first seen.
@@ -141,7 +142,7 @@
 	return n
 }
 
-// names returns the names of the failure domains by index.
+// names returns the names of the failure domains by index. Domains that share the last index are not included.
 func (d *domains) names() map[admission.Domain]string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/steering/hedge.go
+++ b/internal/steering/hedge.go
@@ -16,10 +16,10 @@
 	// minHedgeDelay.
 	hedgeRatio    = 2.5
 	minHedgeDelay = 5 * time.Millisecond
-	// silentRatio is the multiple of the target's expected latency after which a connection without a response counts
-	// as unresponsive, but not before minSilentTime.
-	silentRatio   = 8
-	minSilentTime = 100 * time.Millisecond
+	// unresponsiveRatio is the multiple of the target's expected latency after which a connection without a response
+	// counts as unresponsive, but not before minUnresponsiveTime.
+	unresponsiveRatio   = 8
+	minUnresponsiveTime = 100 * time.Millisecond
 	// defaultHedgeDelay is the delay of the second attempt while no latency has been measured.
 	defaultHedgeDelay = 100 * time.Millisecond
 )
@@ -29,12 +29,15 @@
 type hedge struct {
 	service *Service
 	request *Request
-	ctx     context.Context
+	// ctx is the context of the second attempt.
+	ctx context.Context
 	// cancelFirst cancels the first attempt.
 	cancelFirst context.CancelFunc
-	excluded    string
+	// excluded is the target of the first attempt.
+	excluded string
 	// winner is 0 until an attempt has a response, then 1 for the first attempt or 2 for the second.
-	winner   atomic.Int32
+	winner atomic.Int32
+	// done is closed when the second attempt has ended; response or failure is then its result.
 	done     chan struct{}
 	response *Response
 	failure  *failure
@@ -44,15 +47,15 @@
 func (s *Service) attemptHedged(ctx context.Context, r *Request, excluded string) (*Response, *failure) {
 	switch v := s.admit(ctx, r, excluded).(type) {
 	case *admission.Assignment:
-		return s.race(ctx, r, v)
+		return s.exchangeHedged(ctx, r, v)
 	case *admission.Refusal:
 		return nil, &failure{kind: failedAdmission, refusal: v}
 	}
 	return nil, &failure{kind: failedCanceledBeforeSend}
 }
 
-// race sends an assigned request, and a second attempt in parallel if the first is late.
-func (s *Service) race(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
+// exchangeHedged sends an assigned request, and makes a second attempt in parallel if the first is late.
+func (s *Service) exchangeHedged(ctx context.Context, r *Request, a *admission.Assignment) (*Response, *failure) {
 	first, cancelFirst := context.WithCancel(ctx)
 	second, cancelSecond := context.WithCancel(ctx)
 	h := &hedge{service: s, request: r, ctx: second, cancelFirst: cancelFirst, excluded: a.Target, done: make(chan struct{})}
@@ -74,7 +77,7 @@
 		// The second attempt had its response first; that response is used.
 		_ = response.Body.Close()
 	}
-	s.closeIdleIfSilent(failed, time.Since(start))
+	s.closeIdleIfUnresponsive(failed, time.Since(start))
 	if h.failure == nil {
 		return cancelOnClose(h.response, cancelSecond), nil
 	}
@@ -121,10 +124,10 @@
 	return max(minHedgeDelay, time.Duration(hedgeRatio*float64(meanLatency)))
 }
 
-// closeIdleIfSilent closes the idle connections to a target that has sent no response for so long that they are
+// closeIdleIfUnresponsive closes the idle connections to a target that has sent no response for so long that they are
 // probably broken too.
-func (s *Service) closeIdleIfSilent(failed *failure, elapsed time.Duration) {
-	if failed == nil || failed.target == "" || elapsed < max(minSilentTime, silentRatio*s.expectedLatency(failed.target)) {
+func (s *Service) closeIdleIfUnresponsive(failed *failure, elapsed time.Duration) {
+	if failed == nil || failed.target == "" || elapsed < max(minUnresponsiveTime, unresponsiveRatio*s.expectedLatency(failed.target)) {
 		return
 	}
 	if pool := s.pool(failed.target); pool != nil {
--- a/internal/steering/service.go
+++ b/internal/steering/service.go
@@ -25,6 +25,7 @@
 	pools      map[string]*targetPool
 	classes    map[string]admission.Class
 	spec       note.Service
+	// overloaded is the state of the admission controller that was last recorded.
 	overloaded bool
 	// requestCount counts requests; retries and hedges are not included.
 	requestCount int64
@@ -32,6 +33,8 @@
 	probeCredit float64
 }
 
+// targetPool is the connection pool of a target, with the function that closes it and the configuration that it was
+// opened for.
 type targetPool struct {
 	*backend.Pool
 	close  func()
@@ -132,7 +135,8 @@
 	s.recordStateChanges(s.dispatcher.noteNumber())
 }
 
-// pool returns the connection pool of a target, or nil if the target has been withdrawn from the configuration.
+// pool returns the connection pool of a target, or nil if the target has been removed since the
+// request was assigned.
 func (s *Service) pool(target string) *targetPool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,13 +237,13 @@
 
 // recordOverload adds a record when an overload begins or ends.
 func (s *Service) recordOverload() {
-	overload := s.admission.Overloaded()
-	if overload == s.overloaded {
+	overloaded := s.admission.Overloaded()
+	if overloaded == s.overloaded {
 		return
 	}
-	s.overloaded = overload
+	s.overloaded = overloaded
 	kind := record.OverloadEnded
-	if overload {
+	if overloaded {
 		kind = record.OverloadBegan
 	}
 	s.dispatcher.config.Records.Add(record.Record{
--- a/internal/steering/stream.go
+++ b/internal/steering/stream.go
@@ -40,8 +40,8 @@
 // resumableETag returns the strong ETag of a response that can be resumed by a Range request, or an empty string.
 func resumableETag(r *Request, httpResponse *http.Response) string {
 	etag := httpResponse.Header.Get("ETag")
-	ranged := httpResponse.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
-	if r.Method != http.MethodGet || httpResponse.StatusCode != http.StatusOK || !ranged || strings.HasPrefix(etag, "W/") {
+	acceptsRanges := httpResponse.Header.Get("Accept-Ranges") == "bytes" && r.Header.Get("Range") == ""
+	if r.Method != http.MethodGet || httpResponse.StatusCode != http.StatusOK || !acceptsRanges || strings.HasPrefix(etag, "W/") {
 		return ""
 	}
 	return etag
@@ -89,9 +89,9 @@
 		return false
 	}
 	start := "bytes " + strconv.FormatInt(b.read, 10) + "-"
-	same := response.Status == http.StatusPartialContent && response.Header.Get("ETag") == b.etag &&
+	sameRepresentation := response.Status == http.StatusPartialContent && response.Header.Get("ETag") == b.etag &&
 		strings.HasPrefix(response.Header.Get("Content-Range"), start) && strings.HasSuffix(response.Header.Get("Content-Range"), "/"+strconv.FormatInt(b.total, 10))
-	if !same {
+	if !sameRepresentation {
 		// The other target returned another representation or no range; its response must not be mixed in.
 		_ = response.Body.Close()
 		return false
@@ -100,7 +100,8 @@
 	return true
 }
 
-// finish frees the target's slot. Only the first call has an effect.
+// finish closes the current body and, on its first call, frees the slot of the target that the response came from. The
+// body of a response that resumes it frees the slot of its own target.
 func (b *resumableBody) finish(outcome route.Outcome) {
 	// The result of the body is decided already; Close only returns the connection to the pool.
 	_ = b.body.Close()
