--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -16,7 +16,7 @@
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 2 << 10
 	// maxInlineBody is the largest request body in bytes that is written completely before the response is read. Larger
-	// bodies are written concurrently with reading the response.
+	// bodies and those of unknown length are written while the response is read.
 	maxInlineBody = 16 << 10
 )
 
@@ -33,7 +33,8 @@
 	net.Conn
 	// reader is nil while the connection is idle.
 	reader *bufio.Reader
-	// bodySent is closed when the request has been written or writing it has failed; it is nil for requests with a small body.
+	// bodySent is closed when the request has been written or writing it has failed; it is nil if the request was written
+	// before its response was read.
 	bodySent chan struct{}
 	// sendErr is why the request could not be written; it may be read once bodySent is closed.
 	sendErr error
@@ -41,7 +42,7 @@
 	lastUsed, idleUntil time.Time
 }
 
-// interrupt makes all pending and future reads and writes fail.
+// interrupt makes all pending and future reads and writes fail. It is called when the context of a request ends.
 func (c *connection) interrupt() {
 	// The connection is closed afterwards, so an error makes no difference.
 	_ = c.Conn.SetDeadline(time.Unix(1, 0))
@@ -59,8 +60,8 @@
 	return response, err
 }
 
-// send writes the request. A request with a large body is written in the background, since the backend server may respond
-// before it has read the whole body.
+// send writes the request. A request whose body is large or of unknown length is written in the background, since the
+// backend server may respond before it has read the whole body.
 func (c *connection) send(r *http.Request) error {
 	if r.ContentLength >= 0 && r.ContentLength <= maxInlineBody {
 		return c.write(r)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -21,7 +21,8 @@
 // ErrNotSent reports that no connection could be opened, so no byte of the request was sent and another target may run it.
 var ErrNotSent = namespace.NewType("not_sent")
 
-// ErrPoolExhausted reports that all connections are in use. No byte was sent, and the backend server is not at fault.
+// ErrPoolExhausted reports that all connections are in use, or that the pool is closed. No byte was sent, and the backend
+// server is not at fault.
 var ErrPoolExhausted = namespace.NewType("full")
 
 // ErrConnectionBroke reports that the connection broke after sending began; the backend server may have run the request.
@@ -138,7 +139,8 @@
 	return Usage{p.open, len(p.idle)}
 }
 
-// CloseIdle closes all idle connections. It is called after a connection has gone silent, since the others may be dead too.
+// CloseIdle closes all idle connections. It is called after a request on one connection got no response for unusually
+// long, since the others may be broken too.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.removeIdle()
@@ -148,8 +150,8 @@
 
 // Options restricts the connections that a request may use.
 type Options struct {
-	// RecentlyUsed allows only a new connection or one with a response within Config.RecentUseWindow. It makes a broken
-	// connection, and thus an unknown outcome, unlikely for requests that must not be sent twice.
+	// RecentlyUsed allows only a new connection or one that carried a response within Config.RecentUseWindow. Requests
+	// that must not be sent twice use it, since their outcome would be unknown if the connection broke.
 	RecentlyUsed bool
 	// NewConnection allows only a new connection.
 	NewConnection bool
@@ -222,9 +224,9 @@
 	p.open++
 	p.mu.Unlock()
 	start := time.Now()
-	dialing, cancel := context.WithTimeout(ctx, p.config.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, p.config.DialTimeout)
 	defer cancel()
-	raw, err := p.config.Dial(dialing, "tcp", p.config.Address)
+	conn, err := p.config.Dial(dialCtx, "tcp", p.config.Address)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -234,7 +236,7 @@
 	if took := time.Since(start); p.minConnectTime == 0 || took < p.minConnectTime {
 		p.minConnectTime = took
 	}
-	return &connection{Conn: raw}, nil
+	return &connection{Conn: conn}, nil
 }
 
 // discard closes a connection that is not idle.
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -1,11 +1,11 @@
 // Package claim ensures that a non-idempotent request with an Idempotency-Key runs at most once, however often it is
-// sent. Each incarnation of an entry host (its process from one start to the next) issues grants. A request whose key begins
-// with a grant may run only on the incarnation that issued it, which records the key in its Table. A plain key, which has no
-// grant, is claimed in the platform's store first and thereby bound to the grant of one incarnation. A stopping host seals
-// its table and copies it to peers, which answer for it from then on.
+// sent. Each incarnation of an entry host (its process from one start to the next) issues grants. A request whose key
+// begins with a grant may run only on the incarnation that issued it, which records the key in its Table. A plain key,
+// which has no grant, is claimed in the platform's store first: the store keeps the grant of the only incarnation that
+// may run its request. A stopping host seals its table and copies it to peers, which answer resends from then on.
 //
-// The package also implements the quarantine of requests that crash backend servers. It opens no connections and reads no
-// clock: callers pass in the time since the start of their host.
+// The package also implements the quarantine of requests that crash backend servers. It opens no connections and reads
+// no clock: callers pass in the time since the start of their host.
 package claim
 
 import (
@@ -29,7 +29,8 @@
 	maxKeyBytes = 256
 )
 
-// Grant permits keyed requests to run on one incarnation of one entry host, if they begin within the grant window.
+// Grant permits requests whose keys begin with it to run on one incarnation of one entry host, if they begin within
+// Config.GrantWindow after its issue.
 type Grant struct {
 	Host        string
 	Incarnation uint64
--- a/internal/claim/quarantine.go
+++ b/internal/claim/quarantine.go
@@ -7,9 +7,11 @@
 
 // Limits of the quarantine.
 const (
-	// breaksToQuarantine is the number of targets that must break their connection while running a request.
+	// breaksToQuarantine is the number of targets (backend servers) that must break their connection during an attempt of
+	// the same request before the request is put in quarantine.
 	breaksToQuarantine = 2
-	// quarantineDuration is how long a request stays in quarantine, and how long a suspect is remembered.
+	// quarantineDuration is how long a request stays in quarantine, and how long after its last recorded connection break
+	// a suspect is remembered.
 	quarantineDuration = 2 * time.Minute
 	// maxFingerprints is the maximum number of suspects and, separately, of quarantined requests.
 	maxFingerprints = 4096
@@ -33,8 +35,8 @@
 	expires   time.Duration
 }
 
-// Quarantine blocks requests that appear to crash backend servers, so that retries and resends do not crash more of them.
-// It is safe for concurrent use.
+// Quarantine lists requests that appear to crash backend servers, which are refused so that retries and resends do not
+// crash more of them. It is safe for concurrent use.
 type Quarantine struct {
 	mu sync.Mutex
 	// suspects, quarantined and expires are keyed by the fingerprint of a request.
@@ -83,14 +85,15 @@
 	return true
 }
 
-// RecordSuccess records that a target answered a request, which is therefore no longer a suspect.
+// RecordSuccess records that a target sent a response to a request, which is therefore no longer a suspect.
 func (q *Quarantine) RecordSuccess(fingerprint uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.suspects, fingerprint)
 }
 
-// Merge adds requests that a peer has put in quarantine.
+// Merge adds requests that a peer has put in quarantine. It ignores those whose remaining time is not between 0 and
+// quarantineDuration.
 func (q *Quarantine) Merge(now time.Duration, requests []QuarantinedRequest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -109,7 +112,7 @@
 	q.expires[r.Fingerprint] = max(q.expires[r.Fingerprint], now+r.Remaining)
 }
 
-// Lookup returns the request with a fingerprint; found is false if it is not in quarantine.
+// Lookup returns the quarantined request with the given fingerprint; found is false if there is none.
 func (q *Quarantine) Lookup(now time.Duration, fingerprint uint64) (request QuarantinedRequest, found bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -121,7 +124,7 @@
 	return r, true
 }
 
-// List returns all requests in quarantine.
+// List returns all requests in quarantine, with the time that remains for each.
 func (q *Quarantine) List(now time.Duration) []QuarantinedRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/claim/sealed.go
+++ b/internal/claim/sealed.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// SealedEntry is the record of one key in the table of a sealed incarnation, which runs no further requests.
+// SealedEntry is the record of one key in the table of a sealed incarnation, that is, a process of an entry host that has
+// called Table.Seal and starts no further runs of keyed requests.
 type SealedEntry struct {
 	Key         string
 	Fingerprint uint64
@@ -21,21 +22,21 @@
 	Incarnation uint64
 	// SealedAt is the time of the export since the start of the sealed host.
 	SealedAt time.Duration
-	// Retention is how long the receiver must keep the table. After that, all requests with grants of the sealed
-	// incarnation are too old to run.
+	// Retention is how long the receiver must keep the table. After that, the grants of the sealed incarnation are so old
+	// that its own table would have dropped their keys too.
 	Retention time.Duration
 	Entries   []SealedEntry
 }
 
-// Export returns the whole table. It is called after the channel that Seal returned is closed, or after a time-out; a
-// request that is still running then is exported with the outcome Unknown.
+// Export returns the whole table. It is called after the channel that Seal returned is closed, or when waiting for that
+// takes too long; a request that is still running then is exported with the outcome Unknown.
 func (t *Table) Export(now time.Duration) Handover {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	list := make([]SealedEntry, 0, len(t.entries))
-	for text, e := range t.entries {
-		s := SealedEntry{Key: text, Fingerprint: e.fingerprint}
+	for key, e := range t.entries {
+		s := SealedEntry{Key: key, Fingerprint: e.fingerprint}
 		switch e.state {
 		case completed:
 			s.Outcome, s.HasResponse, s.Response = Ran, true, e.response
@@ -57,7 +58,7 @@
 	number uint64
 }
 
-// sealedTable is the table of one sealed incarnation, held by a peer.
+// sealedTable is the table that a sealed incarnation handed over to this host.
 type sealedTable struct {
 	entries map[string]SealedEntry
 	expires time.Duration
@@ -66,7 +67,7 @@
 	oldestGrant int64
 }
 
-// SealedTables holds the tables of sealed incarnations on behalf of their hosts. It is safe for concurrent use.
+// SealedTables holds the tables that sealed incarnations of other hosts handed over. It is safe for concurrent use.
 type SealedTables struct {
 	mu     sync.Mutex
 	tables map[incarnation]sealedTable
@@ -86,13 +87,13 @@
 	return &SealedTables{tables: map[incarnation]sealedTable{}, maxEntries: c.MaxEntries}
 }
 
-// Add stores the table of a sealed incarnation and reports whether there is room for it.
+// Add stores the table of a sealed incarnation, unless it is stored already. It returns false if there is no room for it.
 func (s *SealedTables) Add(now time.Duration, h Handover) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep(now)
 	id := incarnation{h.Host, h.Incarnation}
-	if _, held := s.tables[id]; held {
+	if _, found := s.tables[id]; found {
 		return true
 	}
 	if s.entries+len(h.Entries) > s.maxEntries {
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -18,7 +18,8 @@
 	// MaxRunTime is the maximum duration of a run.
 	MaxRunTime time.Duration
 	// MaxEntries is the number of keys from which on new requests are refused. Refused keys are recorded as well, until the
-	// table holds twice as many; beyond that, refusals have the outcome Unknown, as a later resend might run.
+	// table holds twice as many. Beyond that a refusal has the outcome Unknown: as it is not recorded, another send of the
+	// same request may still run.
 	MaxEntries int
 	// MaxKeptBytes is the maximum size in bytes of all stored responses.
 	MaxKeptBytes int
@@ -36,8 +37,8 @@
 	notStored
 	// responseLost means that the request may have run and its response was not received.
 	responseLost
-	// refused means that the request has not run and never will under this key. The key stays in the table so that an
-	// earlier, delayed send of the request cannot run after its caller received the outcome NotRun.
+	// refused means that the request has not run and never will under this key, which has a grant. The key stays in the
+	// table so that an earlier, delayed send of the request cannot run after its caller received the outcome NotRun.
 	refused
 )
 
@@ -47,7 +48,7 @@
 	// fingerprint is a hash of the request, which detects the use of its key for another request.
 	fingerprint uint64
 	response    Response
-	// done is closed when the run ends.
+	// done is closed when the run ends, or when the request is refused.
 	done chan struct{}
 	// expires is the second, since the start of the host, after which the entry is dropped.
 	expires int64
@@ -114,13 +115,14 @@
 	return Run{}
 }
 
-// startRun adds an entry in the state running.
+// startRun adds an entry in the state running; it expires when the key's grant is older than GrantWindow and MaxRunTime
+// together.
 func (t *Table) startRun(k Key, fingerprint uint64) *entry {
 	expires := (k.Grant.Issued+milliseconds(t.config.GrantWindow+t.config.MaxRunTime))/1000 + 1
-	text := k.String()
+	key := k.String()
 	e := &entry{state: running, fingerprint: fingerprint, done: make(chan struct{}), expires: expires}
-	t.entries[text] = e
-	t.keysByExpiry[expires] = append(t.keysByExpiry[expires], text)
+	t.entries[key] = e
+	t.keysByExpiry[expires] = append(t.keysByExpiry[expires], key)
 	t.runs++
 	return e
 }
@@ -144,7 +146,7 @@
 	}
 }
 
-// decision returns the decision on a repeated request with the same key.
+// decision returns the decision on a further request with the key of the entry; fingerprint is that of the request.
 func (e *entry) decision(fingerprint uint64) Decision {
 	if e.fingerprint != fingerprint {
 		return Refusal{NotRun, ReasonKeyReused, 0}
@@ -163,7 +165,7 @@
 	return Refusal{Unknown, ReasonResponseLost, 0}
 }
 
-// Finish records how a run ended.
+// Finish records how a run ended. It has no effect if the key is not running.
 func (t *Table) Finish(k Key, end RunEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,8 +208,8 @@
 	}
 }
 
-// sweepAll drops expired entries by visiting all seconds with entries, which is cheaper than visiting every second since the
-// last sweep if that was long ago.
+// sweepAll drops expired entries by visiting all seconds with entries, which is cheaper than visiting every second since
+// the last sweep if that was long ago.
 func (t *Table) sweepAll(second int64) {
 	for expires := range t.keysByExpiry {
 		if expires < second {
@@ -217,22 +219,22 @@
 	t.sweptUntil = second
 }
 
-// dropExpired drops the entries that expire in the given second, except that those still running expire MaxRunTime later.
+// dropExpired drops the entries that expire in the given second, but puts off those still running by MaxRunTime.
 func (t *Table) dropExpired(second int64) {
-	for _, text := range t.keysByExpiry[second] {
-		e := t.entries[text]
+	for _, key := range t.keysByExpiry[second] {
+		e := t.entries[key]
 		if e == nil || e.expires != second {
 			continue
 		}
 		if e.state == running {
 			e.expires = second + 1 + milliseconds(t.config.MaxRunTime)/1000
-			t.keysByExpiry[e.expires] = append(t.keysByExpiry[e.expires], text)
+			t.keysByExpiry[e.expires] = append(t.keysByExpiry[e.expires], key)
 			continue
 		}
 		if e.state == completed {
 			t.storedBytes -= e.response.size()
 		}
-		delete(t.entries, text)
+		delete(t.entries, key)
 	}
 	delete(t.keysByExpiry, second)
 }
@@ -254,7 +256,8 @@
 	return Size{len(t.entries), t.storedBytes, t.runs}
 }
 
-// Seal stops new requests from running and returns a channel that is closed when no request is in flight any more.
+// Seal stops new requests from running, for a graceful stop of the host, and returns a channel that is closed when no
+// request is in flight any more. Requests whose keys are recorded still get a decision.
 func (t *Table) Seal() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/claim/table_test.go
+++ b/internal/claim/table_test.go
@@ -17,7 +17,7 @@
 	return Key{Grant: t.IssueGrant(issued), Suffix: suffix}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	response := Response{Status: 200, Body: []byte("b")}
 	cases := []struct {
 		name string
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestSealedTableAnswers seals and exports a table, and checks the decisions of the peer that holds it.
+// TestSealedTableAnswers seals and exports a table, and checks the decisions of the peer that received it.
 func TestSealedTableAnswers(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
@@ -122,17 +122,17 @@
 func TestTableSizeBound(t *testing.T) {
 	const perSec = 100
 	table := New(Config{Host: "h", Incarnation: 1, GrantWindow: 30 * time.Second, MaxRunTime: 5 * time.Minute, MaxEntries: 1 << 20, MaxKeptBytes: 64 << 20})
-	most := 0
+	maxEntries := 0
 	for now := time.Duration(0); now < time.Hour; now += time.Second / perSec {
 		k := key(table, now, fmt.Sprint(now))
 		table.Begin(now, k, 1)
 		table.Finish(k, Completed{Response{Status: 200, Body: []byte("kept")}, true})
-		most = max(most, table.Size().Entries)
+		maxEntries = max(maxEntries, table.Size().Entries)
 	}
 	bound := perSec * (30 + 300 + 2)
-	t.Logf("%d keys per second for an hour: at most %d entries for %d keys", perSec, most, perSec*3600)
-	if most > bound {
-		t.Fatalf("table holds %d entries, want at most %d for the grant window and the maximum run time", most, bound)
+	t.Logf("%d keys per second for an hour: at most %d entries for %d keys", perSec, maxEntries, perSec*3600)
+	if maxEntries > bound {
+		t.Fatalf("table holds %d entries, want at most %d for the grant window and the maximum run time", maxEntries, bound)
 	}
 }
 
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -15,12 +15,12 @@
 	Unknown Outcome = "Unknown"
 )
 
-// Reason says why a keyed request is refused.
+// Reason says why a keyed request, that is, one with an Idempotency-Key, is refused.
 type Reason string
 
 // The reasons. Their values are part of the protocol with callers.
 const (
-	// ReasonGrantExpired means that the grant window has passed, and the request did not run within it.
+	// ReasonGrantExpired means that the grant's window (Config.GrantWindow) has passed, and the request did not run in it.
 	ReasonGrantExpired Reason = "GrantExpired"
 	// ReasonGrantNotIssued means that the grant has an issue time in the future.
 	ReasonGrantNotIssued Reason = "GrantNotIssued"
@@ -28,11 +28,11 @@
 	ReasonOtherIncarnation Reason = "GrantOfAnotherIncarnation"
 	// ReasonTableFull means that the table has reached its maximum number of keys.
 	ReasonTableFull Reason = "TableFull"
-	// ReasonHostLeaving means that the host that issued the grant is stopping and starts no further requests.
+	// ReasonHostLeaving means that the host that issued the grant is stopping or has stopped, and never ran the request.
 	ReasonHostLeaving Reason = "HostIsLeaving"
 	// ReasonKeyReused means that the key was used before for a request with a different fingerprint.
 	ReasonKeyReused Reason = "KeyUsedForAnotherRequest"
-	// ReasonResponseLost means that an earlier run ended without a complete response.
+	// ReasonResponseLost means that an earlier run ended without a complete response, or that its host stopped during it.
 	ReasonResponseLost Reason = "AnswerWasLost"
 	// ReasonResponseTooLarge means that the response of an earlier run was too large to be stored.
 	ReasonResponseTooLarge Reason = "AnswerTooLargeToKeep"
@@ -64,7 +64,7 @@
 	return n
 }
 
-// Decision says what to do with a keyed request: Run, Join, StoredResponse or Refusal.
+// Decision says what to do with a request that has an Idempotency-Key: Run, Join, StoredResponse or Refusal.
 type Decision interface{ decision() }
 
 // Run means that the caller of Begin must send the request to a backend server once, and then call Finish.
@@ -97,8 +97,8 @@
 	Store    bool
 }
 
-// NotSent means that no byte of the request reached a backend server, or that the backend server refused it with a status
-// that means "not run" under the rule of the request.
+// NotSent means that no byte of the request reached a backend server, or that the backend server refused it with one of
+// the rule's NotRunStatuses, that is, statuses with which it says that it has not run a request.
 type NotSent struct{}
 
 // ResponseLost means that the request was sent, but the response was not received completely.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -35,7 +35,7 @@
 	g.finished = append(g.finished, done)
 }
 
-// Stop cancels the context of the tasks and waits until all of them have returned.
+// Stop cancels the context of the tasks and waits until all of them have returned. Further calls have no effect.
 func (g *Group) Stop() {
 	g.once.Do(func() {
 		g.cancel()
--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -11,18 +11,19 @@
 const (
 	// maxRatePerHome is the number of requests per second that one home can place within the limit on added latency.
 	maxRatePerHome = 1500.0
-	// scaleDownShare is the fraction of maxRatePerHome that the remaining homes may carry after scaling down. The gap to
-	// maxRatePerHome is the hysteresis that prevents flapping.
+	// scaleDownShare is the highest fraction of maxRatePerHome that the remaining homes may carry after scaling down.
+	// The gap to maxRatePerHome is the hysteresis that prevents flapping.
 	scaleDownShare = 0.6
 	// scaleUpDelay and scaleDownDelay are how long the rate must call for the same higher or lower number of homes
-	// before that number takes effect.
+	// before that number takes effect, so that short peaks and dips are ignored.
 	scaleUpDelay   = 3 * time.Second
 	scaleDownDelay = time.Minute
 	// maxScaledHomes is the maximum number of homes due to load; a note may configure more.
 	maxScaledHomes = 8
 )
 
-// HomeDemand is the number of homes that one host calculates for a service from the service's load.
+// HomeDemand is the number of homes that one host calculates for a service from the service's request rate. It is
+// announced to all hosts when it is above 1; see HomeCount.
 type HomeDemand struct {
 	Service string
 	Homes   int
@@ -55,28 +56,29 @@
 		d = &serviceDemand{homes: 1, pending: 1, since: now}
 		s.services[service] = d
 	}
-	next := neededHomes(rate*float64(max(1, homes)), d.homes)
-	if next != d.pending {
-		d.pending, d.since = next, now
+	needed := neededHomes(rate*float64(max(1, homes)), d.homes)
+	if needed != d.pending {
+		d.pending, d.since = needed, now
 	}
-	wait := scaleUpDelay
+	delay := scaleUpDelay
 	if d.pending < d.homes {
-		wait = scaleDownDelay
+		delay = scaleDownDelay
 	}
-	if d.pending != d.homes && now-d.since >= wait {
+	if d.pending != d.homes && now-d.since >= delay {
 		d.homes = d.pending
 	}
 }
 
-// neededHomes returns how many homes a service needs for a total rate, given the number currently asked for.
+// neededHomes returns how many homes a service needs for a total rate in requests per second. It returns current, the
+// number asked for so far, unless more are needed or fewer suffice with a margin.
 func neededHomes(total float64, current int) int {
-	more := int(math.Ceil(total / maxRatePerHome))
-	fewer := int(math.Ceil(total / (maxRatePerHome * scaleDownShare)))
+	scaleUpTo := int(math.Ceil(total / maxRatePerHome))
+	scaleDownTo := int(math.Ceil(total / (maxRatePerHome * scaleDownShare)))
 	switch {
-	case more > current:
-		return min(more, maxScaledHomes)
-	case fewer < current:
-		return max(1, fewer)
+	case scaleUpTo > current:
+		return min(scaleUpTo, maxScaledHomes)
+	case scaleDownTo < current:
+		return max(1, scaleDownTo)
 	}
 	return current
 }
@@ -93,7 +95,8 @@
 	return list
 }
 
-// HomeCount returns the number of homes of a service: the configured number, or the highest that any live host asks for.
+// HomeCount returns the number of homes of a service: the configured number given as homes, or the highest number that a
+// live host asks for (counted up to maxScaledHomes) if that is higher.
 func HomeCount(service string, homes int, live []Member) int {
 	for _, m := range live {
 		for _, d := range m.Wants {
--- a/internal/host/home.go
+++ b/internal/host/home.go
@@ -44,8 +44,10 @@
 }
 
 // Homes returns the hosts that callers in a failure domain should connect to for a service, in order of preference.
-// The homes are the hosts of the caller's region that rank first for the service; those in the caller's failure domain are
-// listed first. Further hosts of the region follow as fallbacks, then hosts of other regions in case the whole region fails.
+// Every region has homes of its own: the given number of its hosts that rank first for the service. The homes of the
+// caller's region come first, beginning with those in the caller's failure domain. Further hosts of the region follow as
+// fallbacks, then hosts of other regions in case the caller's region has none left. The given region applies if no live
+// host is in the failure domain.
 func Homes(service string, homes int, domain, region string, live []Member) []Member {
 	local, remote := splitByRegion(live, regionOf(domain, region, live))
 	ranked := Rank(service, local)
@@ -58,7 +60,7 @@
 	return append(list, remote[:min(len(remote), maxRemoteAddresses)]...)
 }
 
-// RegionHomes returns the homes of a service in one region, or in the other regions if it has no live host.
+// RegionHomes returns the homes of a service in one region, or among all live hosts if the region has none.
 func RegionHomes(service string, homes int, region string, live []Member) []Member {
 	local, _ := splitByRegion(live, region)
 	ranked := Rank(service, local)
--- a/internal/host/member.go
+++ b/internal/host/member.go
@@ -28,7 +28,8 @@
 	Ready bool
 	// Note is the number of the note (revision of the configuration) in force on the host.
 	Note int
-	// Wants holds the numbers of homes that the host calculates for services from their load; see HomeScaler.
+	// Wants holds the services that need more than one home according to the host, with the numbers of homes; see
+	// HomeScaler.
 	Wants []HomeDemand
 	// StoreLost is set while the host cannot reach the platform's store.
 	StoreLost bool
@@ -38,13 +39,13 @@
 const (
 	// HeartbeatInterval is the time between two rounds of heartbeats.
 	HeartbeatInterval = 500 * time.Millisecond
-	// discoveryInterval replaces HeartbeatInterval after a start and while new members are being discovered, so that
-	// hosts that all start at the same time quickly agree on the members and therefore on the homes of services.
+	// discoveryInterval replaces HeartbeatInterval after a start and while new members are being discovered. Hosts that
+	// all start at the same time thus agree on the members, and therefore on the homes of services, in a few rounds.
 	discoveryInterval = 50 * time.Millisecond
 	// discoveryRounds is the number of consecutive rounds without a new member after which HeartbeatInterval applies again.
 	discoveryRounds = 6
-	// deadAfter is how long a member may go without a new heartbeat before it counts as dead, in clusters of up to
-	// maxGossipMembers; see MemberTable.deadTimeout.
+	// deadAfter is how long a member may go without a new heartbeat before it counts as dead, if there are no more than
+	// maxGossipMembers peers; see MemberTable.deadTimeout.
 	deadAfter = 2500 * time.Millisecond
 	// removeAfter is the time since its last heartbeat after which a dead member is removed from the table.
 	removeAfter = time.Minute
@@ -68,7 +69,7 @@
 	Joined EventKind = iota
 	// Left reports that a member has begun a graceful stop.
 	Left
-	// Died reports that a member sent no heartbeat for too long.
+	// Died reports that no new heartbeat of a member became known for too long.
 	Died
 	// Returned reports a heartbeat of the same incarnation after Died.
 	Returned
--- a/internal/host/news.go
+++ b/internal/host/news.go
@@ -16,7 +16,8 @@
 // MemberHash is a hash of the whole state of a member except its heartbeat counter.
 type MemberHash uint32
 
-// Digest is a member's heartbeat counter, sent in place of the full state that the receiver is expected to know already.
+// Digest is a member's heartbeat counter with the hash of its state, sent in place of the full state if the receiver is
+// expected to know that already.
 type Digest struct {
 	Hash MemberHash
 	Beat uint64
@@ -60,8 +61,8 @@
 	return 0
 }
 
-// newestPeers returns up to maxGossipMembers members to gossip about: this host, then the peers whose heartbeat advanced
-// most recently.
+// newestPeers returns up to maxGossipMembers members to gossip about: this host, then the peers that are not dead, those
+// whose heartbeat counter increased most recently first.
 func (t *MemberTable) newestPeers() []*peer {
 	peers := make([]*peer, 0, len(t.peers)+1)
 	for _, p := range t.peers {
@@ -130,7 +131,8 @@
 	return gossip
 }
 
-// mergeDigests updates the heartbeat counters of known members and returns the hashes that match no member.
+// mergeDigests updates the heartbeat counters of the members that digests stand for and returns the hashes that match
+// neither a peer nor this host.
 func (t *MemberTable) mergeDigests(now time.Duration, digests []Digest) []MemberHash {
 	if len(digests) == 0 {
 		return nil
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -86,7 +86,7 @@
 // SetReady sets whether callers may be sent to this host.
 func (t *MemberTable) SetReady(ready bool) { t.update(func(m *Member) { m.Ready = ready }) }
 
-// SetHomeDemands sets the numbers of homes that this host calculates for services from their load.
+// SetHomeDemands sets the services that need more than one home according to this host; see HomeScaler.Demands.
 func (t *MemberTable) SetHomeDemands(demands []HomeDemand) {
 	t.update(func(m *Member) { m.Wants = demands })
 }
@@ -113,7 +113,7 @@
 }
 
 // BeginRound begins a round of heartbeats and returns the inner addresses to send them to.
-// If this process was paused since the last round, the host is no longer ready, and ResetPaused reports the pause.
+// If this process was paused since the last round, the host is set not ready, and ResetPaused reports the pause.
 func (t *MemberTable) BeginRound(now time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -227,8 +227,8 @@
 	return list[:min(count, len(list))]
 }
 
-// deadTimeout returns how long a member may go without a new heartbeat before it counts as dead. It grows with the number
-// of peers above maxGossipMembers, because one heartbeat cannot include all of them then.
+// deadTimeout returns how long a member may go without a new heartbeat before it counts as dead. It grows with the
+// number of peers above maxGossipMembers, because one heartbeat cannot include all of them then.
 func (t *MemberTable) deadTimeout() time.Duration {
 	return deadAfter * time.Duration(max(maxGossipMembers, len(t.peers))) / maxGossipMembers
 }
@@ -302,8 +302,9 @@
 	}
 }
 
-// HeartbeatFailed records that the peer at an inner address did not answer a heartbeat. Only a leaving peer counts as dead
-// from the next round on; others may still be reachable from other hosts and are subject to the dead timeout.
+// HeartbeatFailed records that the peer at an inner address did not answer a heartbeat. A leaving peer counts as dead from
+// the next round on. Any other may still be reachable from other hosts, and counts as dead only when no host has passed
+// on a new heartbeat of it within deadTimeout.
 func (t *MemberTable) HeartbeatFailed(now time.Duration, inner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -326,7 +327,7 @@
 	t.live = nil
 }
 
-// Isolated reports whether this host knows peers but has received no heartbeat or reply within the dead timeout.
+// Isolated reports whether this host knows peers but has received no heartbeat or reply from any within deadTimeout.
 func (t *MemberTable) Isolated(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -134,22 +134,23 @@
 	scaler := NewHomeScaler()
 	homes := 1
 	now := time.Duration(0)
-	// hold applies a total rate, divided evenly among the current homes, and returns the number of homes at the end.
-	hold := func(total float64, length time.Duration) int {
-		for end := now + length; now < end; now += time.Second {
+	// applyRate applies a total rate, divided evenly among the current homes, for a duration and returns the number of
+	// homes at the end.
+	applyRate := func(total float64, duration time.Duration) int {
+		for end := now + duration; now < end; now += time.Second {
 			scaler.Observe(now, "s", total/float64(homes), homes)
 			homes = HomeCount("s", 1, []Member{{Wants: scaler.Demands()}})
 		}
 		return homes
 	}
-	is.Equal(hold(1400, 10*time.Second), 1)
-	is.Equal(hold(4000, 2*time.Second), 1) // short peak
-	is.Equal(hold(1400, 10*time.Second), 1)
-	is.Equal(hold(4000, 10*time.Second), 3)
-	is.Equal(hold(3500, 5*time.Minute), 3) // no flapping between 2 and 3
-	is.Equal(hold(500, 30*time.Second), 3)
-	is.Equal(hold(500, time.Minute), 1)
-	is.Equal(hold(1e6, 10*time.Second), maxScaledHomes)
+	is.Equal(applyRate(1400, 10*time.Second), 1)
+	is.Equal(applyRate(4000, 2*time.Second), 1) // short peak
+	is.Equal(applyRate(1400, 10*time.Second), 1)
+	is.Equal(applyRate(4000, 10*time.Second), 3)
+	is.Equal(applyRate(3500, 5*time.Minute), 3) // no flapping between 2 and 3
+	is.Equal(applyRate(500, 30*time.Second), 3)
+	is.Equal(applyRate(500, time.Minute), 1)
+	is.Equal(applyRate(1e6, 10*time.Second), maxScaledHomes)
 	is.Equal(HomeCount("s", 4, []Member{{Wants: []HomeDemand{{"s", 2}}}}), 4) // never fewer than configured
 }
 
--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -25,9 +25,9 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	idleTimeout = 2 * time.Minute
-	// StreamTimeout is the longest time between two messages on a stream before the stream counts as broken.
+	// StreamTimeout is how long the stream of a forwarded request may be without a message before it counts as broken.
 	StreamTimeout = 900 * time.Millisecond
-	// KeepAliveInterval is the time between two keep-alive messages on a stream whose response is not ready yet.
+	// KeepAliveInterval is the time between two keep-alive messages while a forwarded request has no response yet.
 	KeepAliveInterval = 250 * time.Millisecond
 )
 
@@ -95,8 +95,8 @@
 	firstFetchTimeout = fetchTimeout / 4
 )
 
-// FetchNotes fetches the notes with numbers above the given one from a peer, or a snapshot if the peer no longer keeps
-// all of them.
+// FetchNotes fetches from a peer the notes (revisions of the configuration) with numbers above the given one, or a
+// snapshot of the newest configuration if the peer no longer keeps all of them.
 func (c *Client) FetchNotes(ctx context.Context, address string, above int) (*FetchNotesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -145,8 +145,8 @@
 }
 
 // Forward sends a request with an Idempotency-Key to the host that issued the key's grant, which alone may run it, or to
-// one that keeps the stored responses of that host, and waits for the response. Keep-alive messages on the stream show
-// meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
+// one that holds that host's idempotency records after it has stopped, and waits for the response. Keep-alive messages
+// on the stream show meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
 func (c *Client) Forward(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// SenderWithNewerNote returns the sender of a heartbeat or of its reply if the note in force there is newer than the
-// given one.
+// SenderWithNewerNote returns the sender of a heartbeat or of its reply if the note (revision of the configuration) in
+// force there is newer than the given one.
 func SenderWithNewerNote(sender string, members []*Member, note int) (host.Member, bool) {
 	for _, m := range members {
 		if m.Name == sender && int(m.Note) > note {
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -27,20 +27,20 @@
 }
 
 // Push appends an item, or drops it if the queue is full, and reports whether it was appended.
-func (r *Queue[T]) Push(item T) bool {
+func (q *Queue[T]) Push(item T) bool {
 	select {
-	case r.items <- item:
+	case q.items <- item:
 		return true
 	default:
-		r.dropped.Add(1)
+		q.dropped.Add(1)
 		return false
 	}
 }
 
 // Pop waits for the first item and removes it; ok is false if the context is done first.
-func (r *Queue[T]) Pop(ctx context.Context) (item T, ok bool) {
+func (q *Queue[T]) Pop(ctx context.Context) (item T, ok bool) {
 	select {
-	case item = <-r.items:
+	case item = <-q.items:
 		return item, true
 	case <-ctx.Done():
 		return item, false
@@ -48,7 +48,7 @@
 }
 
 // Dropped returns the number of items dropped so far.
-func (r *Queue[T]) Dropped() int64 { return r.dropped.Load() }
+func (q *Queue[T]) Dropped() int64 { return q.dropped.Load() }
 
 // BufferPool is a pool of byte slices of one size. It is safe for concurrent use.
 type BufferPool struct {
