--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -21,8 +21,8 @@
 // ErrNotSent reports that no connection could be opened, so no byte of the request was sent and another target may run it.
 var ErrNotSent = namespace.NewType("not_sent")
 
-// ErrPoolExhausted reports that all connections are in use, or that the pool is closed. No byte was sent, and the backend
-// server is not at fault.
+// ErrPoolExhausted reports that all connections are in use, or that the pool is closed. No byte was sent, and the
+// backend server is not at fault.
 var ErrPoolExhausted = namespace.NewType("full")
 
 // ErrConnectionBroke reports that the connection broke after sending began; the backend server may have run the request.
@@ -33,8 +33,8 @@
 	maxIdleTime = 30 * time.Second
 	// defaultRecentUseWindow is the default of Config.RecentUseWindow.
 	defaultRecentUseWindow = 100 * time.Millisecond
-	// keepAliveMargin is how long before the backend server's own idle timeout a connection is no longer reused, so that no
-	// request is sent while the backend server closes it.
+	// keepAliveMargin is how long before the backend server's own idle timeout a connection is no longer reused, so that
+	// no request is sent while the backend server closes it.
 	keepAliveMargin = time.Second
 	// defaultUnackedTimeout is the default of Config.UnackedTimeout.
 	defaultUnackedTimeout = 15 * time.Second
@@ -117,8 +117,8 @@
 	}
 }
 
-// MinConnectTime returns the shortest time that opening a connection took, which approximates the network round-trip time.
-// It returns 0 before the first connection.
+// MinConnectTime returns the shortest time that opening a connection took, which approximates the network round-trip
+// time. It returns 0 before the first connection.
 func (p *Pool) MinConnectTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,8 +190,8 @@
 	return p.dial(ctx)
 }
 
-// popIdle removes and returns the most recently used idle connection, or nil if there is none that may be used. It closes
-// connections that have been idle for too long.
+// popIdle removes and returns the most recently used idle connection, or nil if there is none that may be used. It
+// closes connections that have been idle for too long.
 func (p *Pool) popIdle(recentlyUsed bool) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -32,8 +32,8 @@
 	is.Equal(pool.Usage(), Usage{Open: 1, Idle: 1})
 }
 
-// TestPoolHandsOverOnce checks that a POST with an Idempotency-Key is not sent again when its pooled connection breaks, as
-// http.Transport would do.
+// TestPoolHandsOverOnce checks that a POST with an Idempotency-Key is not sent again when its pooled connection breaks,
+// as http.Transport would do.
 func TestPoolHandsOverOnce(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int64
--- a/internal/claim/sealed.go
+++ b/internal/claim/sealed.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SealedEntry is the record of one key in the table of a sealed incarnation, that is, a process of an entry host that has
-// called Table.Seal and starts no further runs of keyed requests.
+// SealedEntry is the record of one key in the table of a sealed incarnation, that is, a process of an entry host that
+// has called Table.Seal and starts no further runs of keyed requests.
 type SealedEntry struct {
 	Key         string
 	Fingerprint uint64
@@ -62,8 +62,8 @@
 type sealedTable struct {
 	entries map[string]SealedEntry
 	expires time.Duration
-	// oldestGrant is an issue time on the clock of the sealed host. The table may already have dropped keys of grants issued
-	// then or earlier, and is complete for later ones.
+	// oldestGrant is an issue time on the clock of the sealed host. The table may already have dropped keys of grants
+	// issued then or earlier, and is complete for later ones.
 	oldestGrant int64
 }
 
@@ -108,8 +108,8 @@
 	return true
 }
 
-// Lookup decides on a request whose grant was issued by a sealed incarnation; found is false if its table is not held here.
-// A key that is missing from the table and not too old has never run and never will.
+// Lookup decides on a request whose grant was issued by a sealed incarnation; found is false if its table is not held
+// here. A key that is missing from the table and not too old has never run and never will.
 func (s *SealedTables) Lookup(now time.Duration, k Key, fingerprint uint64) (decision Decision, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -17,9 +17,9 @@
 	GrantWindow time.Duration
 	// MaxRunTime is the maximum duration of a run.
 	MaxRunTime time.Duration
-	// MaxEntries is the number of keys from which on new requests are refused. Refused keys are recorded as well, until the
-	// table holds twice as many. Beyond that a refusal has the outcome Unknown: as it is not recorded, another send of the
-	// same request may still run.
+	// MaxEntries is the number of keys from which on new requests are refused. Refused keys are recorded as well, until
+	// the table holds twice as many. Beyond that a refusal has the outcome Unknown: as it is not recorded, another send of
+	// the same request may still run.
 	MaxEntries int
 	// MaxKeptBytes is the maximum size in bytes of all stored responses.
 	MaxKeptBytes int
@@ -208,8 +208,8 @@
 	}
 }
 
-// sweepAll drops expired entries by visiting all seconds with entries, which is cheaper than visiting every second since
-// the last sweep if that was long ago.
+// sweepAll drops expired entries by visiting all seconds with entries, which is cheaper than visiting every second
+// since the last sweep if that was long ago.
 func (t *Table) sweepAll(second int64) {
 	for expires := range t.keysByExpiry {
 		if expires < second {
--- a/internal/claim/table_test.go
+++ b/internal/claim/table_test.go
@@ -20,10 +20,10 @@
 func TestDecisions(t *testing.T) {
 	response := Response{Status: 200, Body: []byte("b")}
 	cases := []struct {
-		name string
-		do   func(t *Table, k Key)
-		at   time.Duration
-		want Decision
+		name  string
+		setup func(t *Table, k Key)
+		at    time.Duration
+		want  Decision
 	}{
 		{"first", func(*Table, Key) {}, 0, Run{}},
 		{"in flight", func(t *Table, k Key) { t.Begin(0, k, 1) }, 0, Join{}},
@@ -52,7 +52,7 @@
 			is := is.New(t)
 			table := newTable()
 			k := key(table, 0, "k")
-			c.do(table, k)
+			c.setup(table, k)
 			got := table.Begin(c.at, k, 1)
 			if _, join := got.(Join); join {
 				got = Join{}
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestTableSizeBound checks that the table holds only the keys of the grant window and the maximum run time, however long
-// the host is up.
+// TestTableSizeBound checks that the table holds only the keys of the grant window and the maximum run time, however
+// long the host is up.
 func TestTableSizeBound(t *testing.T) {
 	const perSec = 100
 	table := New(Config{Host: "h", Incarnation: 1, GrantWindow: 30 * time.Second, MaxRunTime: 5 * time.Minute, MaxEntries: 1 << 20, MaxKeptBytes: 64 << 20})
--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -95,8 +95,8 @@
 	return list
 }
 
-// HomeCount returns the number of homes of a service: the configured number given as homes, or the highest number that a
-// live host asks for (counted up to maxScaledHomes) if that is higher.
+// HomeCount returns the number of homes of a service: the configured number given as homes, or the highest number that
+// a live host asks for (counted up to maxScaledHomes) if that is higher.
 func HomeCount(service string, homes int, live []Member) int {
 	for _, m := range live {
 		for _, d := range m.Wants {
--- a/internal/host/home.go
+++ b/internal/host/home.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxLocalAddresses is the maximum number of addresses of the caller's region that Homes returns, unless the service has
-// more homes.
+// maxLocalAddresses is the maximum number of addresses of the caller's region that Homes returns, unless the service
+// has more homes.
 const maxLocalAddresses = 5
 
 // Rank orders members for a name by rendezvous hashing. The relative order of two members depends only on their names
@@ -45,9 +45,9 @@
 
 // Homes returns the hosts that callers in a failure domain should connect to for a service, in order of preference.
 // Every region has homes of its own: the given number of its hosts that rank first for the service. The homes of the
-// caller's region come first, beginning with those in the caller's failure domain. Further hosts of the region follow as
-// fallbacks, then hosts of other regions in case the caller's region has none left. The given region applies if no live
-// host is in the failure domain.
+// caller's region come first, beginning with those in the caller's failure domain. Further hosts of the region follow
+// as fallbacks, then hosts of other regions in case the caller's region has none left. The given region applies if no
+// live host is in the failure domain.
 func Homes(service string, homes int, domain, region string, live []Member) []Member {
 	local, remote := splitByRegion(live, regionOf(domain, region, live))
 	ranked := Rank(service, local)
--- a/internal/host/member.go
+++ b/internal/host/member.go
@@ -1,7 +1,7 @@
-// Package host implements the gossip membership of entry hosts, the load balancer's own processes. It tracks which hosts
-// are alive and ready by their heartbeats, and selects by rendezvous hashing the homes of each service, that is, the hosts
-// that place its requests on backend servers, and the hosts that watch the platform's store. It opens no connections and
-// reads no clock: callers send the messages and pass in the time since the start of this host.
+// Package host implements the gossip membership of entry hosts, the load balancer's own processes. It tracks which
+// hosts are alive and ready by their heartbeats, and selects by rendezvous hashing the homes of each service, that is,
+// the hosts that place its requests on backend servers, and the hosts that watch the platform's store. It opens no
+// connections and reads no clock: callers send the messages and pass in the time since the start of this host.
 package host
 
 import "time"
--- a/internal/host/news.go
+++ b/internal/host/news.go
@@ -61,8 +61,8 @@
 	return 0
 }
 
-// newestPeers returns up to maxGossipMembers members to gossip about: this host, then the peers that are not dead, those
-// whose heartbeat counter increased most recently first.
+// newestPeers returns up to maxGossipMembers members to gossip about: this host, then the peers that are not dead,
+// those whose heartbeat counter increased most recently first.
 func (t *MemberTable) newestPeers() []*peer {
 	peers := make([]*peer, 0, len(t.peers)+1)
 	for _, p := range t.peers {
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -24,8 +24,8 @@
 // maxGossipMembers is the maximum number of members in one heartbeat.
 const maxGossipMembers = 64
 
-// seedContactRounds is the number of rounds between two heartbeats to seeds and hosts of the platform's host list, which
-// are also sent while peers are known.
+// seedContactRounds is the number of rounds between two heartbeats to seeds and hosts of the platform's host list,
+// which are also sent while peers are known.
 const seedContactRounds = 16
 
 // peer is what this host knows about another one.
@@ -163,16 +163,16 @@
 	return paused
 }
 
-// HeartbeatOverdue reports whether this host's next round of heartbeats is so late that the process must have been paused
-// and BeginRound has not detected it yet.
+// HeartbeatOverdue reports whether this host's next round of heartbeats is so late that the process must have been
+// paused and BeginRound has not detected it yet.
 func (t *MemberTable) HeartbeatOverdue(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.started && now-t.lastRound > pauseThreshold
 }
 
-// recipients returns the inner addresses for a round of heartbeats: random live peers of each failure domain, and one dead
-// peer in case it has recovered. Seeds and hosts of the host list are added while no peer is known and every
+// recipients returns the inner addresses for a round of heartbeats: random live peers of each failure domain, and one
+// dead peer in case it has recovered. Seeds and hosts of the host list are added while no peer is known and every
 // seedContactRounds rounds.
 func (t *MemberTable) recipients() []string {
 	byDomain := map[string][]string{}
@@ -302,9 +302,9 @@
 	}
 }
 
-// HeartbeatFailed records that the peer at an inner address did not answer a heartbeat. A leaving peer counts as dead from
-// the next round on. Any other may still be reachable from other hosts, and counts as dead only when no host has passed
-// on a new heartbeat of it within deadTimeout.
+// HeartbeatFailed records that the peer at an inner address did not answer a heartbeat. A leaving peer counts as dead
+// from the next round on. Any other may still be reachable from other hosts, and counts as dead only when no host has
+// passed on a new heartbeat of it within deadTimeout.
 func (t *MemberTable) HeartbeatFailed(now time.Duration, inner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -315,8 +315,8 @@
 	}
 }
 
-// SetHostList applies the platform's host list. The inner addresses of its entry hosts are used like seeds, and the hosts
-// whose names are in leaving are excluded from Live.
+// SetHostList applies the platform's host list. The inner addresses of its entry hosts are used like seeds, and the
+// hosts whose names are in leaving are excluded from Live.
 func (t *MemberTable) SetHostList(addresses []string, leaving map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestDigestsCarryOnlyUpdates exchanges gossip between two hosts: unknown digests are resolved to full members, and later
-// replies hold only digests with a newer heartbeat.
+// TestDigestsCarryOnlyUpdates exchanges gossip between two hosts: unknown digests are resolved to full members, and
+// later replies hold only digests with a newer heartbeat.
 func TestDigestsCarryOnlyUpdates(t *testing.T) {
 	is := is.New(t)
 	a, b := newTable("a"), newTable("b")
@@ -123,8 +123,8 @@
 			is.True(slices.ContainsFunc(RegionHomes("s", 2, region, live), func(o Member) bool { return o.Name == m.Name }))
 		}
 	}
-	south := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Region == "south" })
-	is.Equal(Homes("s", 1, "d3", "south", south)[0].Region, "north")
+	withoutSouth := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Region == "south" })
+	is.Equal(Homes("s", 1, "d3", "south", withoutSouth)[0].Region, "north")
 	is.Equal(Homes("s", 1, "unknown", "south", live)[0].Region, "south")
 }
 
--- a/internal/inner/client.go
+++ b/internal/inner/client.go
@@ -63,9 +63,9 @@
 	return NewDRPCPeerClient(c.pool.Get(ctx, address, c.dial))
 }
 
-// callWithRetry makes a unary call. If the peer does not reply within firstTimeout, it closes the peer's idle connections
-// and makes the call once more on a new one: an established connection may lose all packets in one direction without an
-// error.
+// callWithRetry makes a unary call. If the peer does not reply within firstTimeout, it closes the peer's idle
+// connections and makes the call once more on a new one: an established connection may lose all packets in one
+// direction without an error.
 func callWithRetry[R any](ctx context.Context, c *Client, address string, firstTimeout time.Duration,
 	call func(context.Context, DRPCPeerClient) (R, error)) (R, error) {
 	firstCtx, cancel := context.WithTimeout(ctx, firstTimeout)
@@ -144,9 +144,9 @@
 	return n, err
 }
 
-// Forward sends a request with an Idempotency-Key to the host that issued the key's grant, which alone may run it, or to
-// one that holds that host's idempotency records after it has stopped, and waits for the response. Keep-alive messages
-// on the stream show meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
+// Forward sends a request with an Idempotency-Key to the host that issued the key's grant, which alone may run it, or
+// to one that holds that host's idempotency records after it has stopped, and waits for the response. Keep-alive
+// messages on the stream show meanwhile that the peer is alive; errors are ErrStreamTimeout or ErrPeerFailed.
 func (c *Client) Forward(ctx context.Context, address string, request *PassRequest) (*PassReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/inner/heartbeat.go
+++ b/internal/inner/heartbeat.go
@@ -18,8 +18,8 @@
 	firstHeartbeatTimeout = heartbeatTimeout / 2
 )
 
-// Heartbeats exchanges the member table of a host with those of its peers by gossip: each heartbeat and each reply carries
-// the newest data that the sender has about the members.
+// Heartbeats exchanges the member table of a host with those of its peers by gossip: each heartbeat and each reply
+// carries the newest data that the sender has about the members.
 type Heartbeats struct {
 	Table  *host.MemberTable
 	Client *Client
--- a/internal/inner/tls_test.go
+++ b/internal/inner/tls_test.go
@@ -86,8 +86,8 @@
 }
 
 // TestPeersWithoutTrustedCertificateAreRejected calls a host over TLS with a certificate of its own authority, with one
-// of another authority and over plain TCP, and replaces keys and the authority while the server runs. A peer is accepted
-// exactly if both sides trust each other's authority at the time of the handshake.
+// of another authority and over plain TCP, and replaces keys and the authority while the server runs. A peer is
+// accepted exactly if both sides trust each other's authority at the time of the handshake.
 func TestPeersWithoutTrustedCertificateAreRejected(t *testing.T) {
 	is := is.New(t)
 	trusted, untrusted := newAuthority(is, t.TempDir()), newAuthority(is, t.TempDir())
