--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -21,7 +21,8 @@
 // ErrNotSent reports that no connection could be opened, so no byte of the request was sent and another target may run it.
 var ErrNotSent = namespace.NewType("not_sent")
 
-// ErrPoolExhausted reports that all connections are in use. No byte was sent, and the backend server is not at fault.
+// ErrPoolExhausted reports that all connections are in use, or that the pool is closed. No byte was sent, and the
+// backend server is not at fault.
 var ErrPoolExhausted = namespace.NewType("full")
 
 // ErrConnectionBroke reports that the connection broke after sending began; the backend server may have run the request.
@@ -32,8 +33,8 @@
 	maxIdleTime = 30 * time.Second
 	// defaultRecentUseWindow is the default of Config.RecentUseWindow.
 	defaultRecentUseWindow = 100 * time.Millisecond
-	// keepAliveMargin is how long before the backend server's own idle timeout a connection is no longer reused, so that no
-	// request is sent while the backend server closes it.
+	// keepAliveMargin is how long before the backend server's own idle timeout a connection is no longer reused, so that
+	// no request is sent while the backend server closes it.
 	keepAliveMargin = time.Second
 	// defaultUnackedTimeout is the default of Config.UnackedTimeout.
 	defaultUnackedTimeout = 15 * time.Second
@@ -116,8 +117,8 @@
 	}
 }
 
-// MinConnectTime returns the shortest time that opening a connection took, which approximates the network round-trip time.
-// It returns 0 before the first connection.
+// MinConnectTime returns the shortest time that opening a connection took, which approximates the network round-trip
+// time. It returns 0 before the first connection.
 func (p *Pool) MinConnectTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +139,8 @@
 	return Usage{p.open, len(p.idle)}
 }
 
-// CloseIdle closes all idle connections. It is called after a connection has gone silent, since the others may be dead too.
+// CloseIdle closes all idle connections. It is called after a request on one connection got no response for unusually
+// long, since the others may be broken too.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.removeIdle()
@@ -148,8 +150,8 @@
 
 // Options restricts the connections that a request may use.
 type Options struct {
-	// RecentlyUsed allows only a new connection or one with a response within Config.RecentUseWindow. It makes a broken
-	// connection, and thus an unknown outcome, unlikely for requests that must not be sent twice.
+	// RecentlyUsed allows only a new connection or one that carried a response within Config.RecentUseWindow. Requests
+	// that must not be sent twice use it, since their outcome would be unknown if the connection broke.
 	RecentlyUsed bool
 	// NewConnection allows only a new connection.
 	NewConnection bool
@@ -188,8 +190,8 @@
 	return p.dial(ctx)
 }
 
-// popIdle removes and returns the most recently used idle connection, or nil if there is none that may be used. It closes
-// connections that have been idle for too long.
+// popIdle removes and returns the most recently used idle connection, or nil if there is none that may be used. It
+// closes connections that have been idle for too long.
 func (p *Pool) popIdle(recentlyUsed bool) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,9 +224,9 @@
 	p.open++
 	p.mu.Unlock()
 	start := time.Now()
-	dialing, cancel := context.WithTimeout(ctx, p.config.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, p.config.DialTimeout)
 	defer cancel()
-	raw, err := p.config.Dial(dialing, "tcp", p.config.Address)
+	conn, err := p.config.Dial(dialCtx, "tcp", p.config.Address)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -234,7 +236,7 @@
 	if took := time.Since(start); p.minConnectTime == 0 || took < p.minConnectTime {
 		p.minConnectTime = took
 	}
-	return &connection{Conn: raw}, nil
+	return &connection{Conn: conn}, nil
 }
 
 // discard closes a connection that is not idle.
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestDigestsCarryOnlyUpdates exchanges gossip between two hosts: unknown digests are resolved to full members, and later
-// replies hold only digests with a newer heartbeat.
+// TestDigestsCarryOnlyUpdates exchanges gossip between two hosts: unknown digests are resolved to full members, and
+// later replies hold only digests with a newer heartbeat.
 func TestDigestsCarryOnlyUpdates(t *testing.T) {
 	is := is.New(t)
 	a, b := newTable("a"), newTable("b")
@@ -123,8 +123,8 @@
 			is.True(slices.ContainsFunc(RegionHomes("s", 2, region, live), func(o Member) bool { return o.Name == m.Name }))
 		}
 	}
-	south := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Region == "south" })
-	is.Equal(Homes("s", 1, "d3", "south", south)[0].Region, "north")
+	withoutSouth := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Region == "south" })
+	is.Equal(Homes("s", 1, "d3", "south", withoutSouth)[0].Region, "north")
 	is.Equal(Homes("s", 1, "unknown", "south", live)[0].Region, "south")
 }
 
@@ -134,22 +134,23 @@
 	scaler := NewHomeScaler()
 	homes := 1
 	now := time.Duration(0)
-	// hold applies a total rate, divided evenly among the current homes, and returns the number of homes at the end.
-	hold := func(total float64, length time.Duration) int {
-		for end := now + length; now < end; now += time.Second {
+	// applyRate applies a total rate, divided evenly among the current homes, for a duration and returns the number of
+	// homes at the end.
+	applyRate := func(total float64, duration time.Duration) int {
+		for end := now + duration; now < end; now += time.Second {
 			scaler.Observe(now, "s", total/float64(homes), homes)
 			homes = HomeCount("s", 1, []Member{{Wants: scaler.Demands()}})
 		}
 		return homes
 	}
-	is.Equal(hold(1400, 10*time.Second), 1)
-	is.Equal(hold(4000, 2*time.Second), 1) // short peak
-	is.Equal(hold(1400, 10*time.Second), 1)
-	is.Equal(hold(4000, 10*time.Second), 3)
-	is.Equal(hold(3500, 5*time.Minute), 3) // no flapping between 2 and 3
-	is.Equal(hold(500, 30*time.Second), 3)
-	is.Equal(hold(500, time.Minute), 1)
-	is.Equal(hold(1e6, 10*time.Second), maxScaledHomes)
+	is.Equal(applyRate(1400, 10*time.Second), 1)
+	is.Equal(applyRate(4000, 2*time.Second), 1) // short peak
+	is.Equal(applyRate(1400, 10*time.Second), 1)
+	is.Equal(applyRate(4000, 10*time.Second), 3)
+	is.Equal(applyRate(3500, 5*time.Minute), 3) // no flapping between 2 and 3
+	is.Equal(applyRate(500, 30*time.Second), 3)
+	is.Equal(applyRate(500, time.Minute), 1)
+	is.Equal(applyRate(1e6, 10*time.Second), maxScaledHomes)
 	is.Equal(HomeCount("s", 4, []Member{{Wants: []HomeDemand{{"s", 2}}}}), 4) // never fewer than configured
 }
 
