--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -21,7 +21,8 @@
 	Services []Service
 	Targets  []Target
 	Rules    []Rule
-	// Limits replaces the limits in the settings of each entry host unless it is nil.
+	// Limits holds the limits that a configuration of the users' platform sets. It is nil in configurations that are made
+	// of operators' notes; the limits in each host's settings apply then.
 	Limits *Limits `json:",omitempty"`
 }
 
--- a/internal/note/note.go
+++ b/internal/note/note.go
@@ -16,7 +16,8 @@
 
 var namespace = errorx.NewNamespace("note").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrConflict reports that another note was published under the number first; the message names that note and what to do.
+// ErrConflict reports a note that does not follow the newest one, for instance because another note was published first.
+// The message names the newest note and what to do.
 var ErrConflict = namespace.NewType("conflict")
 
 // ErrOutcomeUnknown reports that the store did not confirm whether the note was accepted; it may be in force.
@@ -78,7 +79,7 @@
 	Shares []Share `ini:"-" json:",omitempty"`
 	// Priority orders queued requests; lower numbers are placed first.
 	Priority int `ini:"-" json:",omitempty"`
-	// Goal is the latency goal, from arrival to response; zero means none.
+	// Goal is the latency goal, from arrival to response: a later response is worth less to the caller. Zero means none.
 	Goal time.Duration `ini:"-" json:",omitempty"`
 	// Attempts is the maximum number of targets that one request is sent to; zero means no limit.
 	Attempts int `ini:"-" json:",omitempty"`
@@ -90,7 +91,8 @@
 	Weight  int
 }
 
-// Limits bounds the size of callers' requests, in bytes, and the time in which callers must send them.
+// Limits bounds the size of callers' requests, in bytes, the time in which callers must send the header, and the time in
+// which a connection may be idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -24,13 +24,13 @@
 	TargetForgotten Kind = "TargetForgotten"
 	// HostJoined means that an entry host appeared in the membership, for the first time or again.
 	HostJoined Kind = "HostJoined"
-	// HostLeft means that an entry host stopped or that its heartbeats stayed away.
+	// HostLeft means that an entry host began a graceful stop or that it sent no heartbeat for too long.
 	HostLeft Kind = "HostLeft"
 	// HostPaused means that the process of this host did not run for a while, so that its own heartbeat was late.
 	HostPaused Kind = "HostPaused"
 	// HostSealed means that this host is stopping and runs no more new requests with its grants.
 	HostSealed Kind = "HostSealed"
-	// HomeMoved means that another host became the home of a service.
+	// HomeMoved means that the primary home of a service changed; From and To are names of hosts, and empty means none.
 	HomeMoved Kind = "HomeMoved"
 	// RequestQuarantined means that a request is refused for a while because it broke connections of several targets.
 	RequestQuarantined Kind = "RequestQuarantined"
--- a/internal/settings/follow.go
+++ b/internal/settings/follow.go
@@ -21,7 +21,7 @@
 }
 
 // Watch reads a settings file periodically, in the background, and reports changes until the context ends; then it closes
-// the returned channel. A file that cannot be read or is invalid does not count as a change.
+// the returned channel. A file that cannot be read or is invalid leaves the settings in force as they are.
 func Watch(ctx context.Context, c WatchConfig) <-chan struct{} {
 	last, err := os.ReadFile(c.File)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -54,7 +54,7 @@
 }
 
 // Retries is the retry budget of each service over all entry hosts. It limits extra attempts, which are retries and
-// hedges.
+// hedges. Only hosts with Platform.Kind Native use it; with Etcd, the configuration sets RetryRatio for each service.
 type Retries struct {
 	// Ratio is the maximum number of extra attempts per request within Window.
 	Ratio  float64
@@ -70,7 +70,8 @@
 }
 
 // Limits bounds the size and duration of callers' requests, and the memory and the store writes spent on them; sizes are
-// in bytes.
+// in bytes. With Platform.Kind Native, the configuration in the store sets the limits on headers, bodies and idle
+// connections instead, and requests have no Idempotency-Keys, grants or stored responses.
 type Limits struct {
 	HeaderBytes int
 	// KeyedBodyBytes is the maximum size of the body of a request with an Idempotency-Key, and of a response that is stored
@@ -79,7 +80,9 @@
 	BodyBytes      int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	// StopTimeout is the maximum duration of a graceful stop.
+	// StopTimeout is the maximum time that requests in flight get at a graceful stop, after callers have stopped using the
+	// host. With Platform.Kind Native it limits the whole stop, which ends shortly before it, because the platform kills
+	// the process then.
 	StopTimeout time.Duration
 	// AddressMaxAge is how long callers may cache the addresses of entry hosts.
 	AddressMaxAge time.Duration
@@ -91,9 +94,10 @@
 	KeptBytes   int
 	// ClaimsPerSec is the maximum rate at which this host claims Idempotency-Keys without a grant in the store.
 	ClaimsPerSec float64
-	// HeldBytes bounds the memory that request bodies take.
+	// HeldBytes bounds the memory that request bodies take. Only hosts with Platform.Kind Native use it.
 	HeldBytes int
-	// MemoryBytes is the memory use above which the process collects garbage more often; zero means no limit.
+	// MemoryBytes is the memory use above which the process collects garbage more often; zero means no limit. Only hosts
+	// with Platform.Kind Native use it.
 	MemoryBytes int
 }
 
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -73,7 +73,7 @@
 	defer r.mu.Unlock()
 	for conn := range r.connections {
 		for _, c := range []net.Conn{conn.client, conn.server} {
-			if tcp, is := c.(*net.TCPConn); is {
+			if tcp, ok := c.(*net.TCPConn); ok {
 				// With a linger time of 0, Close sends a reset.
 				_ = tcp.SetLinger(0)
 			}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -58,9 +58,9 @@
 }
 
 // TestSoak checks the guarantees of the load balancer under random faults: no request that must run at most once runs
-// twice, refused requests do not run, every request is answered correctly unless the host was killed, paused or
-// stopped meanwhile, no host returns to an older configuration while it runs, and every host serves the newest one
-// after the faults.
+// twice, refused requests do not run, every request gets a complete response, which may report an error, no host returns
+// to an older configuration while it runs, and every host serves the newest one after the faults. A request may get no
+// response if its host was killed or paused meanwhile, or if its host was stopping and the request did not run.
 //
 // It runs the seeds that have found faults before, or those that the environment selects: SOAK_SEED is the first
 // seed, SOAK_SEEDS the number of seeds, SOAK_SECONDS the length of each run, and SOAK_HOSTS and SOAK_TARGETS the size
@@ -264,7 +264,7 @@
 }
 
 // randomHostFault chooses a fault of a host's process. It returns the fault's name in the test log and a function
-// that injects the fault and ends it. HostTold makes the host reload its settings.
+// that injects the fault and ends it.
 func (r *soakRun) randomHostFault() (string, func()) {
 	p := r.hosts[r.intN(len(r.hosts))]
 	duration := r.randomDuration(10*time.Millisecond, 2*time.Second)
@@ -276,7 +276,7 @@
 	case 2:
 		return "HostPaused", func() { r.pauseProcess(p, duration) }
 	}
-	return "HostTold", func() { r.sendSignal(p, syscall.SIGHUP) }
+	return "HostReloaded", func() { r.sendSignal(p, syscall.SIGHUP) }
 }
 
 // sendSignal sends a signal to a host's current process.
@@ -299,7 +299,7 @@
 }
 
 // restart ends a host's process with a signal and starts it again after downtime. The signal is sent twice and
-// followed by SIGHUP: neither must abort the requests in flight of a host that is stopping gracefully.
+// followed by SIGHUP: neither may abort the requests in flight of a host that is stopping gracefully.
 func (r *soakRun) restart(p *process, downtime time.Duration, s syscall.Signal) {
 	if !p.beginFault(s == syscall.SIGKILL) {
 		return
@@ -337,7 +337,7 @@
 }
 
 // randomRelayFault chooses a network fault of the relay before a host, a backend server or the store, as
-// randomHostFault does. In the names of these faults, Line stands for the connections through the relay.
+// randomHostFault does.
 func (r *soakRun) randomRelayFault() (string, func()) {
 	var relays []*relay
 	for _, p := range r.hosts {
@@ -356,19 +356,19 @@
 	}
 	switch r.intN(7) {
 	case 0:
-		return "LineReset", proxy.resetConnections
+		return "ConnectionsReset", proxy.resetConnections
 	case 1:
-		return "LineSilenced", proxy.blackhole
+		return "ConnectionsBlackholed", proxy.blackhole
 	case 2:
-		return "LineSlow", temporarily(relayMode{delay: r.randomDuration(5*time.Millisecond, 200*time.Millisecond)})
+		return "NetworkSlow", temporarily(relayMode{delay: r.randomDuration(5*time.Millisecond, 200*time.Millisecond)})
 	case 3:
-		return "LineCut", temporarily(relayMode{blockToServer: true, blockToClient: true})
+		return "NetworkBlocked", temporarily(relayMode{blockToServer: true, blockToClient: true})
 	case 4:
-		return "LineCutForward", temporarily(relayMode{blockToServer: true})
+		return "NetworkBlockedToServer", temporarily(relayMode{blockToServer: true})
 	case 5:
-		return "LineCutBack", temporarily(relayMode{blockToClient: true})
+		return "NetworkBlockedToClient", temporarily(relayMode{blockToClient: true})
 	}
-	return "LineRefuses", temporarily(relayMode{refuseConnections: true})
+	return "ConnectionsRefused", temporarily(relayMode{refuseConnections: true})
 }
 
 // randomStoreFault chooses a fault of the store, for one host or for all, or writes a new configuration, as an
@@ -389,13 +389,13 @@
 	case 0:
 		return "StoreRefuses", temporarily(standin.Faults{Status: http.StatusServiceUnavailable})
 	case 1:
-		return "StoreSilent", temporarily(standin.Faults{Unresponsive: true})
+		return "StoreUnresponsive", temporarily(standin.Faults{Unresponsive: true})
 	case 2:
 		return "StoreSlow", temporarily(standin.Faults{Delay: r.randomDuration(50*time.Millisecond, 2*time.Second)})
 	case 3:
-		return "StoreLosesAnswers", temporarily(standin.Faults{DropWriteResponses: true})
+		return "StoreDropsResponses", temporarily(standin.Faults{DropWriteResponses: true})
 	case 4:
-		return "StoreForgetsHistory", r.store.Compact
+		return "StoreCompacted", r.store.Compact
 	}
 	return "NewConfiguration", func() {
 		r.mu.Lock()
@@ -417,11 +417,11 @@
 	}
 	switch r.intN(6) {
 	case 0:
-		return "TargetLosesAnswers", temporarily(func(t *standin.Target, on bool) { t.DropResponses = on })
+		return "TargetDropsResponses", temporarily(func(t *standin.Target, on bool) { t.DropResponses = on })
 	case 1:
-		return "TargetCutsAnswers", temporarily(func(t *standin.Target, on bool) { t.TruncateResponses = on })
+		return "TargetTruncatesResponses", temporarily(func(t *standin.Target, on bool) { t.TruncateResponses = on })
 	case 2:
-		return "TargetSheds", temporarily(func(t *standin.Target, on bool) { t.RefuseRuns = on })
+		return "TargetRefusesRuns", temporarily(func(t *standin.Target, on bool) { t.RefuseRuns = on })
 	case 3:
 		return "TargetSlow", temporarily(func(t *standin.Target, on bool) {
 			t.RunDuration = 50 * time.Millisecond
@@ -430,13 +430,13 @@
 			}
 		})
 	case 4:
-		return "TargetLeaves", func() {
+		return "TargetDraining", func() {
 			r.register(s, "draining")
 			time.Sleep(duration)
 			r.register(s, "ready")
 		}
 	}
-	return "TargetVanishes", func() {
+	return "TargetDeregistered", func() {
 		r.store.Delete("servers/" + s.Name)
 		time.Sleep(duration)
 		r.register(s, "ready")
