--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -39,7 +39,7 @@
 	Get(ctx context.Context, key string) (entry Entry, found bool, err error)
 	// Range returns up to limit entries whose keys start with prefix and are not less than from, in key order.
 	Range(ctx context.Context, prefix, from string, limit int) ([]Entry, error)
-	// Last returns the entry with the greatest key under prefix.
+	// Last returns the entry with the greatest key under prefix; found is false if there is none.
 	Last(ctx context.Context, prefix string) (entry Entry, found bool, err error)
 	// Create writes a key only if it does not exist.
 	Create(ctx context.Context, key string, value []byte, lease LeaseID) (CreateResult, error)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -14,7 +14,7 @@
 
 // The kinds of records.
 const (
-	// NoteAdopted means that the host put a newer note in force.
+	// NoteAdopted means that the host put a newer note in force. A note is a revision of the configuration.
 	NoteAdopted Kind = "NoteAdopted"
 	// NoteRejected means that the host could not apply a note or an entry of the store.
 	NoteRejected Kind = "NoteRejected"
@@ -28,9 +28,11 @@
 	HostLeft Kind = "HostLeft"
 	// HostPaused means that the process of this host did not run for a while, so that its own heartbeat was late.
 	HostPaused Kind = "HostPaused"
-	// HostSealed means that this host is stopping and runs no more new requests with its grants.
+	// HostSealed means that this host is stopping and no longer starts requests with an Idempotency-Key that it issued a
+	// grant for. Its table of such requests is final from then on.
 	HostSealed Kind = "HostSealed"
-	// HomeMoved means that the primary home of a service changed; From and To are names of hosts, and empty means none.
+	// HomeMoved means that the primary home of a service changed. A home is an entry host that callers should send the
+	// requests of the service to. From and To are names of hosts; empty means none.
 	HomeMoved Kind = "HomeMoved"
 	// RequestQuarantined means that a request is refused for a while because it broke connections of several targets.
 	RequestQuarantined Kind = "RequestQuarantined"
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -62,7 +62,7 @@
 	exited chan struct{}
 	// starts counts the starts of the process, and so identifies the incarnation of the host.
 	starts int
-	// disrupted is set from a kill until the host is ready again, and from a pause until one second after it.
+	// disrupted is set from a kill until the host is ready again, and from the start of a pause until one second after its end.
 	disrupted bool
 	// stopping is set from the start of a graceful stop until the host has been started again and is ready.
 	stopping bool
