--- a/internal/note/note.go
+++ b/internal/note/note.go
@@ -39,7 +39,8 @@
 	RetryRatio float64
 	// ReportPath is the path of the targets' health and load report, which probes fetch; empty means no probes.
 	ReportPath string
-	// Connections is the maximum number of connections to one target over all entry hosts; zero means no limit.
+	// Connections is the maximum number of connections to one target over all entry hosts, as the configuration of the
+	// users' platform states it; zero means no limit. It is not enforced: each entry host has a fixed limit of its own.
 	Connections int `ini:"-" json:",omitempty"`
 }
 
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -31,8 +31,8 @@
 	// HostSealed means that this host is stopping and no longer starts requests with an Idempotency-Key that it issued a
 	// grant for. Its table of such requests is final from then on.
 	HostSealed Kind = "HostSealed"
-	// HomeMoved means that the primary home of a service changed. A home is an entry host that callers should send the
-	// requests of the service to. From and To are names of hosts; empty means none.
+	// HomeMoved means that the first home of a service for callers in this host's failure domain changed. A home is an
+	// entry host that callers should send the requests of the service to. From and To are names of hosts; empty means none.
 	HomeMoved Kind = "HomeMoved"
 	// RequestQuarantined means that a request is refused for a while because it broke connections of several targets.
 	RequestQuarantined Kind = "RequestQuarantined"
@@ -48,14 +48,14 @@
 
 // Evidence is the data that a change is based on; fields that do not apply are zero.
 type Evidence struct {
-	Failures int           `json:",omitempty"`
-	Latency  time.Duration `json:",omitempty"`
-	// Usual is the mean latency that Latency was compared with.
-	Usual  time.Duration `json:",omitempty"`
-	Queued int           `json:",omitempty"`
-	Peer   string        `json:",omitempty"`
-	Hash   string        `json:",omitempty"`
-	Detail string        `json:",omitempty"`
+	Failures int `json:",omitempty"`
+	// Latency is the mean latency of the target, and Usual that of the whole service, with which it was compared.
+	Latency time.Duration `json:",omitempty"`
+	Usual   time.Duration `json:",omitempty"`
+	Queued  int           `json:",omitempty"`
+	Peer    string        `json:",omitempty"`
+	Hash    string        `json:",omitempty"`
+	Detail  string        `json:",omitempty"`
 }
 
 // Record is one change as one entry host saw it. Sequence numbers the records of an incarnation of the host.
