--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -14,7 +14,7 @@
 
 // The kinds of records.
 const (
-	// NoteAdopted means that the host put a newer note in force.
+	// NoteAdopted means that the host put a newer note in force. A note is a revision of the configuration.
 	NoteAdopted Kind = "NoteAdopted"
 	// NoteRejected means that the host could not apply a note or an entry of the store.
 	NoteRejected Kind = "NoteRejected"
@@ -24,13 +24,15 @@
 	TargetForgotten Kind = "TargetForgotten"
 	// HostJoined means that an entry host appeared in the membership, for the first time or again.
 	HostJoined Kind = "HostJoined"
-	// HostLeft means that an entry host stopped or that its heartbeats stayed away.
+	// HostLeft means that an entry host began a graceful stop or that it sent no heartbeat for too long.
 	HostLeft Kind = "HostLeft"
 	// HostPaused means that the process of this host did not run for a while, so that its own heartbeat was late.
 	HostPaused Kind = "HostPaused"
-	// HostSealed means that this host is stopping and runs no more new requests with its grants.
+	// HostSealed means that this host is stopping and no longer starts requests with an Idempotency-Key that it issued a
+	// grant for. Its table of such requests is final from then on.
 	HostSealed Kind = "HostSealed"
-	// HomeMoved means that another host became the home of a service.
+	// HomeMoved means that the first home of a service for callers in this host's failure domain changed. A home is an
+	// entry host that callers should send the requests of the service to. From and To are names of hosts; empty means none.
 	HomeMoved Kind = "HomeMoved"
 	// RequestQuarantined means that a request is refused for a while because it broke connections of several targets.
 	RequestQuarantined Kind = "RequestQuarantined"
@@ -46,14 +48,14 @@
 
 // Evidence is the data that a change is based on; fields that do not apply are zero.
 type Evidence struct {
-	Failures int           `json:",omitempty"`
-	Latency  time.Duration `json:",omitempty"`
-	// Usual is the mean latency that Latency was compared with.
-	Usual  time.Duration `json:",omitempty"`
-	Queued int           `json:",omitempty"`
-	Peer   string        `json:",omitempty"`
-	Hash   string        `json:",omitempty"`
-	Detail string        `json:",omitempty"`
+	Failures int `json:",omitempty"`
+	// Latency is the mean latency of the target, and Usual that of the whole service, with which it was compared.
+	Latency time.Duration `json:",omitempty"`
+	Usual   time.Duration `json:",omitempty"`
+	Queued  int           `json:",omitempty"`
+	Peer    string        `json:",omitempty"`
+	Hash    string        `json:",omitempty"`
+	Detail  string        `json:",omitempty"`
 }
 
 // Record is one change as one entry host saw it. Sequence numbers the records of an incarnation of the host.
