--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -131,7 +131,7 @@
 	return address.Response{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
-// hostsToAsk returns the hosts of the last answer, followed by the seeds, beginning with a random one.
+// hostsToAsk returns the hosts of the last answer, followed by all seeds in their order, starting at a random one.
 func (c *Client) hostsToAsk(last address.Response) []string {
 	var list []string
 	for _, a := range last.Addresses {
@@ -180,7 +180,8 @@
 
 // Do sends a request and retries it, up to maxAttempts attempts, until its outcome is known. Retries of an AtMostOnce
 // request use the same Idempotency-Key while an earlier attempt may have run, and a new one after an attempt that
-// certainly did not run. Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse, for the last attempt.
+// certainly did not run. If all attempts are used up, it returns the response or error of the last one. Errors are
+// ErrNoAddress, ErrConnect or ErrIncompleteResponse.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	var response Response
 	var keysUsed []string
@@ -212,8 +213,9 @@
 	return response, err
 }
 
-// isFinal reports whether a retry cannot help: the request ran, or was refused with a status other than 503 and 409, or
-// it is an AtMostOnce request whose response was lost for good. All other requests may be retried.
+// isFinal reports whether the request is not to be retried: the response says that it ran or does not say whether it ran,
+// or that it was refused with a status other than 503 and 409, or it is an AtMostOnce request whose response was lost for
+// good.
 func isFinal(r Request, response Response) bool {
 	if response.Outcome == "" || response.Outcome == claim.Ran {
 		return true
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -88,7 +88,7 @@
 		fmt.Fprintf(c.out, "%s: could get requests for %v of %v known\n", eligibility.Host, eligibility.Eligible.Round(time.Millisecond), eligibility.Covered.Round(time.Millisecond))
 	}
 	if len(timeline) == 0 {
-		fmt.Fprintf(c.out, "no host holds a record of target %q in this stretch; look into the collected logs\n", c.Target)
+		fmt.Fprintf(c.out, "no host holds a record of target %q in this period; search the collected logs\n", c.Target)
 	}
 	return c.reportMissing(e)
 }
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// timeFormat is the layout of printed times; the records' times are in UTC.
+// timeFormat is the layout of printed times. Its Z is literal: it is right for the times of records, which are in UTC,
+// but the bounds of the period have the time zone of the process, or of --from and --to.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
 // formatRecord returns an event record as one line of text.
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -25,7 +25,7 @@
 // Execute implements flags.Commander.
 func (c *measureCommand) Execute([]string) error {
 	if c.Control {
-		return c.showControl()
+		return c.printIdleUsage()
 	}
 	if len(c.Hosts) != 1 || c.Direct == "" {
 		return &flags.Error{Type: flags.ErrRequired, Message: "give one --host and one --direct, or --control"}
@@ -59,21 +59,21 @@
 	return table.Flush()
 }
 
-// showControl prints the processor time, traffic to peers and memory that each host uses; it sends no requests
+// printIdleUsage prints the processor time, traffic to peers and memory that each host uses; it sends no requests
 // meanwhile.
-func (c *measureCommand) showControl() error {
-	controls, err := measure.RunIdle(context.Background(), c.Hosts, c.Length)
+func (c *measureCommand) printIdleUsage() error {
+	usages, err := measure.RunIdle(context.Background(), c.Hosts, c.Length)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return c.printJSON(controls)
+		return c.printJSON(usages)
 	}
 	table := tabwriter.NewWriter(c.out, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "Host\tCore %\tSent B/s\tReceived B/s\tHeap MB\tSystem MB\tGoroutines\t")
-	for _, control := range controls {
-		fmt.Fprintf(table, "%s\t%.2f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\t\n", control.Host, 100*control.CoreShare, control.SentPerSec, control.ReceivedPerSec,
-			float64(control.HeapBytes)/(1<<20), float64(control.SystemBytes)/(1<<20), control.Goroutines)
+	for _, usage := range usages {
+		fmt.Fprintf(table, "%s\t%.2f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\t\n", usage.Host, 100*usage.CoreShare, usage.SentPerSec, usage.ReceivedPerSec,
+			float64(usage.HeapBytes)/(1<<20), float64(usage.SystemBytes)/(1<<20), usage.Goroutines)
 	}
 	return table.Flush()
 }
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -37,7 +37,8 @@
 type server interface {
 	// Serve runs the host until stop ends, then stops gracefully, or at once when force ends.
 	Serve(stop, force context.Context) error
-	// Reload applies changed settings, as far as they do not need a restart.
+	// Reload passes changed settings to the host. A gateway applies some of them at once; an entry.Host applies none and
+	// logs that it must be restarted.
 	Reload(settings.Settings)
 	// Listen returns the address for callers, Inner that for peers, which are the other entry hosts.
 	Listen() string
@@ -82,7 +83,8 @@
 }
 
 // newServer returns an entry host for the platform that the settings name, and the function that closes it. A gateway
-// logs to the output stream, an entry host on Etcd to the error stream.
+// writes its log to the output stream, an entry host on Etcd to the error stream. The records that this command logs
+// itself go to the error stream for both.
 func (c *serveCommand) newServer(s settings.Settings, logger zerolog.Logger) (server, func(), error) {
 	if s.Platform.Kind == "Native" {
 		h, closeHost := newGateway(s, logger.Output(c.out))
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,7 @@
 // Package demo runs a complete deployment of entry hosts, backend servers and callers in one process over loopback, and
 // checks that no request is lost, run twice or answered with a truncated response. While callers send requests, it
-// publishes a configuration change and stops an entry host. A note is one revision of the configuration.
+// publishes a configuration change that withdraws a backend server, checks that this server gets no more requests, and
+// stops an entry host. A note is one revision of the configuration; a target is a backend server.
 package demo
 
 import (
@@ -27,8 +28,8 @@
 
 var namespace = errorx.NewNamespace("demo").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrCheckFailed reports that a request was lost, run twice or answered with a truncated response, or that a note did not
-// come into force on all entry hosts.
+// ErrCheckFailed reports that a request was lost, run twice, answered with a truncated response or sent to a withdrawn
+// target, or that a note did not come into force on all entry hosts.
 var ErrCheckFailed = namespace.NewType("broken_promise")
 
 const (
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// startHosts starts the entry hosts. The first two are the seed peers of all later ones.
+// startHosts starts the entry hosts. Each has as seed peers the first two hosts, as far as they were started before it.
 func (f *fleet) startHosts() error {
 	var seeds []string
 	for i := range f.config.Deployment.Hosts {
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -61,9 +61,9 @@
 	},
 }
 
-// FirstNote returns the text of the note with the initial configuration of the deployment. The function addresses returns
-// the address of the target with a name.
-func (d Deployment) FirstNote(addresses func(target string) string) string {
+// FirstNote returns the text of the note with the initial configuration of the deployment. The function addressOf returns
+// the address of a target by its name.
+func (d Deployment) FirstNote(addressOf func(target string) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[Note]\nFollows = 0\nOperator = demo\nReason = first note of %s\n", d.Name)
 	for _, w := range d.Workloads {
@@ -73,7 +73,7 @@
 		for i := range w.Targets {
 			name := TargetName(w.Service, i)
 			fmt.Fprintf(&b, "\n[Target %s]\nService = %s\nAddress = %s\nDomain = %s\nSlots = %d\n",
-				name, w.Service, addresses(name), d.Domains[i%len(d.Domains)], d.Slots)
+				name, w.Service, addressOf(name), d.Domains[i%len(d.Domains)], d.Slots)
 		}
 	}
 	return b.String()
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -24,12 +24,12 @@
 	completed outcome = iota
 	// notRun means that the request was refused and did not run.
 	notRun
-	// lost means that the request ended with an error or an unexpected response, or that no target ran it although it was
-	// answered.
+	// lost means that the request ended with an error or an unexpected response, or that it must run at most once and was
+	// answered with status 200 although no target ran it.
 	lost
 	// duplicated means that a request which must run at most once ran more than once. It is printed as Doubled.
 	duplicated
-	// truncated means that the body differs from the expected one. It is printed as Cut.
+	// truncated means that the status is 200 but the body differs from the expected one. It is printed as Cut.
 	truncated
 )
 
@@ -149,7 +149,7 @@
 		}
 	}
 	if failures > 0 || f.runCounter.DuplicatedKeys() > 0 || res.requestsAfterWithdrawal > 0 {
-		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or hosts do not have note 2 in force; see the table", failures)
+		return ErrCheckFailed.New("%d requests were lost, doubled or cut, or a withdrawn target got requests, or hosts do not have note 2 in force; see the table", failures)
 	}
 	fmt.Fprintln(f.config.Out, "0 lost, 0 doubled, 0 cut")
 	return nil
--- a/internal/fakenet/network.go
+++ b/internal/fakenet/network.go
@@ -17,7 +17,7 @@
 	mu           sync.Mutex
 	listeners    map[string]*pipeListener
 	partitioned  map[[2]string]bool // by sending and receiving node
-	conns        map[*pipeConn]bool // ends of connections that are not closed yet
+	conns        map[*pipeConn]bool // ends of connections on which Close was not called yet
 	addressCount int                // number of addresses that were assigned
 }
 
@@ -167,7 +167,7 @@
 }
 
 // Blackhole drops from now on all bytes that are written to the open connections between two nodes, in both directions,
-// and returns the number of their ends. New connections work.
+// and returns the number of connection ends that now drop them. New connections work.
 func (n *Network) Blackhole(a, b string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -17,7 +17,8 @@
 	// to it are not included.
 	SentPerSec     float64
 	ReceivedPerSec float64
-	// HeapBytes is the live heap and SystemBytes all memory obtained from the operating system, at the end.
+	// HeapBytes is the memory of heap objects, including garbage that is not freed yet, and SystemBytes all memory
+	// obtained from the operating system, both at the end.
 	HeapBytes   uint64
 	SystemBytes uint64
 	Goroutines  int
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -55,7 +55,7 @@
 	CorePerRequest time.Duration
 	// AllocationsPerRequest is the number of heap objects that the host allocated per request.
 	AllocationsPerRequest float64
-	// HeapBytes is the live heap of the host after the measurement.
+	// HeapBytes is the memory of the host's heap objects after the measurement, including garbage that is not freed yet.
 	HeapBytes uint64
 }
 
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -54,7 +54,8 @@
 }
 
 // Stale reports whether an idle connection cannot be reused, because the other side has closed it, or has sent bytes
-// although no request is outstanding. It never blocks.
+// although no request is outstanding. It never blocks. For a connection without a file descriptor, such as one over TLS
+// or in memory, it returns false.
 func Stale(c net.Conn) bool {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
