--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -24,20 +24,20 @@
 	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Load\tPolicy\tSeed\tAsked\tInGoal\tLate\tRefused\tLost\tWorth\tP50\tP99\tProbes/s\tRepeats")
 	simulated := 0
-	for _, load := range model.Workloads() {
-		if !strings.HasPrefix(load.Name, c.Load) {
+	for _, workload := range model.Workloads() {
+		if !strings.HasPrefix(workload.Name, c.Load) {
 			continue
 		}
 		if c.Use > 0 {
-			load.OfferedLoad = c.Use
+			workload.OfferedLoad = c.Use
 		}
 		for _, policy := range model.Policies() {
 			if !strings.HasPrefix(policy.Name(), c.Policy) {
 				continue
 			}
 			for seed := c.Seed; seed < c.Seed+c.Runs; seed++ {
-				load.Seed = seed
-				result := model.Simulate(policy, load)
+				workload.Seed = seed
+				result := model.Simulate(policy, workload)
 				simulated++
 				fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\t%.1f\t%.3f\n",
 					result.Workload, result.Policy, seed, result.Requests, result.InGoal, result.Late, result.Refused, result.Lost, result.Utility, result.P50, result.P99, result.Probes, result.ExtraAttempts)
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -264,12 +264,12 @@
 // exit code must be 0.
 func checkGracefulStop(d *deployment) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var load sync.WaitGroup
+	var senders sync.WaitGroup
 	var mu sync.Mutex
 	failures := 0
 	for i := range 6 {
 		client, closeClient := caller.New(caller.Config{Seeds: d.listenAddresses, Seed: uint64(i)})
-		load.Go(func() {
+		senders.Go(func() {
 			defer closeClient()
 			for n := 0; ctx.Err() == nil; n++ {
 				r := caller.Request{Service: "s", Method: http.MethodGet, Path: fmt.Sprintf("/%d", n)}
@@ -296,6 +296,6 @@
 	d.is.NoErr(d.hosts[home].Process.Signal(syscall.SIGTERM))
 	d.is.NoErr(d.hosts[home].Wait()) // Wait returns an error unless the exit code is 0
 	cancel()
-	load.Wait()
+	senders.Wait()
 	d.is.Equal(failures, 0) // requests that failed or were sent more than once
 }
--- a/internal/command/verify.go
+++ b/internal/command/verify.go
@@ -54,7 +54,8 @@
 	return operator.Verify(ctx, store, hosts)
 }
 
-// printFindings prints the state of the chain and one line for each host.
+// printFindings prints the state of the chain and one line for each host. For a Native store, which has no chain, the
+// first line shows the number and hash of the newest configuration.
 func (c *verifyCommand) printFindings(v operator.Verification) error {
 	if v.Chain != "" {
 		fmt.Fprintf(c.out, "chain: broken after note %d: %s\n", v.Number, v.Chain)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -81,8 +81,8 @@
 	Missing []string
 }
 
-// Explain returns the records of every host, from the given time on, that concern a target or all targets. An empty
-// target selects all records.
+// Explain returns the records of every host, from the given time on, that concern a target or all targets. The time is
+// truncated to seconds. An empty target selects all records.
 func (c *Client) Explain(ctx context.Context, target string, since time.Time) Explanation {
 	var mu sync.Mutex
 	var e Explanation
