--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,9 +1,11 @@
 // Package command implements the command line of the briarcroft program. Each command is a struct whose tagged fields
 // are its flags and whose Execute method runs it; Run parses the arguments and turns errors into exit codes.
 //
-// Three words of the project occur in all commands. An entry host is a process that takes requests from callers and
+// Some words of the project occur in all commands. An entry host is a process that takes requests from callers and
 // sends them to backend servers, which are also called targets. A release note, or note for short, is one revision of
-// the configuration. The store is the platform's key-value service, which holds the chain of accepted notes.
+// the configuration. The store is the platform's key-value service. An etcd-like store (Kind = Etcd) holds the chain of
+// accepted notes. The store of the users' platform (Kind = Native) holds only the newest configuration; an entry host on
+// that platform is called a gateway.
 package command
 
 import (
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -21,8 +21,9 @@
 // only a few megabytes, so letting it grow to five times that costs little memory and makes collections rare.
 const entryHostGCPercent = 400
 
-// gatewayGCPercent is the garbage collector's target percentage (GOGC) of a gateway. It is lower than that of other
-// entry hosts because gateways run on a platform that charges for the memory they use.
+// gatewayGCPercent is the garbage collector's target percentage (GOGC) of a gateway: the heap grows by 40 % between two
+// collections. It is lower than that of other entry hosts because gateways run on a platform that charges for the memory
+// they use.
 const gatewayGCPercent = 40
 
 type serveCommand struct {
