--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -32,9 +32,9 @@
 	is.Equal(pool.Usage(), Usage{Open: 1, Idle: 1})
 }
 
-// TestPoolHandsOverOnce checks that a POST with an Idempotency-Key is not sent again when its pooled connection breaks,
-// as http.Transport would do.
-func TestPoolHandsOverOnce(t *testing.T) {
+// TestPoolSendsOnce checks that a POST with an Idempotency-Key is not sent again when its pooled connection breaks.
+// http.Transport would send it again.
+func TestPoolSendsOnce(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -1,5 +1,7 @@
-// Package claim ensures that a non-idempotent request with an Idempotency-Key runs at most once, however often it is
-// sent. Each incarnation of an entry host (its process from one start to the next) issues grants. A request whose key
+// Package claim keeps the idempotency records of requests with an Idempotency-Key, so that a non-idempotent request runs
+// at most once, however often it is sent.
+//
+// Each incarnation of an entry host (its process from one start to the next) issues grants. A request whose key
 // begins with a grant may run only on the incarnation that issued it, which records the key in its Table. A plain key,
 // which has no grant, is claimed in the platform's store first: the store keeps the grant of the only incarnation that
 // may run its request. A stopping host seals its table and copies it to peers, which answer resends from then on.
--- a/internal/claim/sealed.go
+++ b/internal/claim/sealed.go
@@ -16,8 +16,8 @@
 	Response    Response
 }
 
-// Handover is the whole table of a sealed incarnation, as a stopping host sends it to peers.
-type Handover struct {
+// ExportedTable is the whole table of a sealed incarnation, as a stopping host sends it to peers.
+type ExportedTable struct {
 	Host        string
 	Incarnation uint64
 	// SealedAt is the time of the export since the start of the sealed host.
@@ -30,7 +30,7 @@
 
 // Export returns the whole table. It is called after the channel that Seal returned is closed, or when waiting for that
 // takes too long; a request that is still running then is exported with the outcome Unknown.
-func (t *Table) Export(now time.Duration) Handover {
+func (t *Table) Export(now time.Duration) ExportedTable {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
@@ -49,7 +49,7 @@
 		}
 		list = append(list, s)
 	}
-	return Handover{t.config.Host, t.config.Incarnation, now, t.config.GrantWindow + t.config.MaxRunTime, list}
+	return ExportedTable{t.config.Host, t.config.Incarnation, now, t.config.GrantWindow + t.config.MaxRunTime, list}
 }
 
 // incarnation identifies one incarnation of an entry host.
@@ -58,7 +58,7 @@
 	number uint64
 }
 
-// sealedTable is the table that a sealed incarnation handed over to this host.
+// sealedTable is the table that a sealed incarnation sent to this host.
 type sealedTable struct {
 	entries map[string]SealedEntry
 	expires time.Duration
@@ -67,7 +67,7 @@
 	oldestGrant int64
 }
 
-// SealedTables holds the tables that sealed incarnations of other hosts handed over. It is safe for concurrent use.
+// SealedTables holds the tables that sealed incarnations of other hosts have sent. It is safe for concurrent use.
 type SealedTables struct {
 	mu     sync.Mutex
 	tables map[incarnation]sealedTable
@@ -88,7 +88,7 @@
 }
 
 // Add stores the table of a sealed incarnation, unless it is stored already. It returns false if there is no room for it.
-func (s *SealedTables) Add(now time.Duration, h Handover) bool {
+func (s *SealedTables) Add(now time.Duration, h ExportedTable) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep(now)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,4 +1,5 @@
-// Package duty runs background tasks, which are goroutines that start and stop together with an entry host.
+// Package duty provides groups of background goroutines that are started with an entry host and stopped with it: Stop
+// cancels the group's context and waits for all of them.
 package duty
 
 import (
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -14,8 +14,8 @@
 	"briarcroft/internal/steering"
 )
 
-// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that hears from no peer or knows
-// no live host.
+// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that receives no heartbeats
+// or knows no live host.
 const isolatedMaxAge = 1
 
 // serveAddresses answers GET /Addresses: the homes of a service, which are the entry hosts that a caller should connect
@@ -86,7 +86,7 @@
 	page.WriteJSON(w, status, Health{self.Name, self.Ready, self.Leaving, f.host.membership.Isolated(f.host.now()), self.Note})
 }
 
-// Status is the response to GET /Status: what a host knows of itself, its peers and its services.
+// Status is the response to GET /Status: the state of a host, its peers and its services.
 type Status struct {
 	Host        string
 	Domain      string
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -102,7 +102,7 @@
 }
 
 // applyHead puts the head of the chain in force on this host if it is newer than the note numbered previous, and starts
-// a round of heartbeats so that peers learn of it. cause is where the note came from, for the event record.
+// a round of heartbeats so that peers fetch it. cause is where the note came from, for the event record.
 func (h *Host) applyHead(previous int, cause string) {
 	head, hash, configuration := h.chain.Head()
 	if head.Number <= previous {
--- a/internal/entry/notes_test.go
+++ b/internal/entry/notes_test.go
@@ -17,9 +17,9 @@
 	return fmt.Sprintf("[Note]\nFollows = %d\nOperator = test\nReason = next\n[Service extra-%d]\n", follows, follows)
 }
 
-// TestStaleStoreNeverLowersTheNote restarts a host while the store serves stale reads: no host may go back to an older
+// TestStaleStoreDoesNotRollBackNote restarts a host while the store serves stale reads: no host may go back to an older
 // note, and the restarted one must get the newest from its peers.
-func TestStaleStoreNeverLowersTheNote(t *testing.T) {
+func TestStaleStoreDoesNotRollBackNote(t *testing.T) {
 	withFleetServing(t, 3, 2, echo, func(f *fleet, _ []*fakeBackend) {
 		old := f.store.Revision()
 		f.publish(followingNote(1))
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -64,7 +64,7 @@
 }
 
 // sealRequests splits a table into messages of limited size; an empty table makes one message.
-func sealRequests(table claim.Handover) []*inner.SealRequest {
+func sealRequests(table claim.ExportedTable) []*inner.SealRequest {
 	var parts []*inner.SealRequest
 	startPart := func() {
 		parts = append(parts, &inner.SealRequest{
--- a/internal/entry/through_test.go
+++ b/internal/entry/through_test.go
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkThrough measures requests over loopback through an entry host to a backend server that responds immediately.
-func BenchmarkThrough(b *testing.B) {
+// BenchmarkProxyRequest measures requests over loopback through an entry host to a backend server that responds immediately.
+func BenchmarkProxyRequest(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }))
 	defer backend.Close()
 	s := settings.Default()
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -11,8 +11,8 @@
 	"briarcroft/platform/standin"
 )
 
-// TestFailuresPassOn lets targets answer with an error status: callers get status, header and body unchanged.
-func TestFailuresPassOn(t *testing.T) {
+// TestErrorResponsesAreForwarded lets targets answer with an error status: callers get status, header and body unchanged.
+func TestErrorResponsesAreForwarded(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 500, 502} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			withFleet(t, 2, 2, func(f *fleet) {
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestUnsealedRefusalNotPassedOn lets targets run an unsafe request and answer 503 without a seal or a statement that it
+// TestUnsealedRefusalIsNotForwarded lets targets run an unsafe request and answer 503 without a seal or a statement that it
 // was not run. Passed on to the caller, that status would imply that the request may safely be sent again.
-func TestUnsealedRefusalNotPassedOn(t *testing.T) {
+func TestUnsealedRefusalIsNotForwarded(t *testing.T) {
 	withFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
 			x.Update(func(t *standin.Target) { t.Status, t.OmitSeal = 503, true })
@@ -48,9 +48,9 @@
 	})
 }
 
-// TestTimeLeftIsSent lets one target break connections after 200 ms: the deadline header of each request to a target
+// TestRemainingTimeIsSent lets one target break connections after 200 ms: the deadline header of each request to a target
 // holds the time that remains, which is less for the retry on a second target.
-func TestTimeLeftIsSent(t *testing.T) {
+func TestRemainingTimeIsSent(t *testing.T) {
 	withFleet(t, 2, 3, func(f *fleet) {
 		const responseDelay = 200 * time.Millisecond
 		f.targets["t0"].Update(func(t *standin.Target) { t.DropResponses, t.RunDuration = true, responseDelay })
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,8 +29,8 @@
 	// response is what the caller may get; it is nil unless the outcome is OutcomeAnswered or OutcomeFailed.
 	response *callerResponse
 	load     *placement.LoadReport
-	// took is the time until the response header arrived, or until the run ended without one.
-	took time.Duration
+	// duration is the time until the response header arrived, or until the run ended without one.
+	duration time.Duration
 	// index is the position of the run among its hedgedRuns.
 	index int
 }
@@ -48,11 +48,11 @@
 func (x *exchange) runOn(ctx context.Context, from placer, p placement.Placed) *runResult {
 	started := x.gateway.now()
 	r := x.roundTrip(ctx, p)
-	if r.took == 0 {
-		r.took = x.gateway.now() - started
+	if r.duration == 0 {
+		r.duration = x.gateway.now() - started
 	}
 	x.gateway.stats.attempts.Add(1)
-	end := placement.RunEnd{Target: p.Target, Outcome: r.outcome, Duration: r.took, Load: r.load}
+	end := placement.RunEnd{Target: p.Target, Outcome: r.outcome, Duration: r.duration, Load: r.load}
 	if r.response != nil {
 		end.Bytes = len(r.response.body)
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return &runResult{outcome: x.outcomeOfError(ctx, err)}
 	}
-	r := &runResult{load: g.parseLoad(response.Header), took: g.now() - started}
+	r := &runResult{load: g.parseLoad(response.Header), duration: g.now() - started}
 	if response.Header.Get(g.dialect.NotRunHeader) != "" || response.StatusCode == http.StatusMisdirectedRequest {
 		r.outcome = placement.OutcomeNotRun
 		if response.StatusCode == http.StatusMisdirectedRequest {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -12,7 +12,7 @@
 
 // Time limits of an exchange.
 const (
-	// firstVerdictTimeout is how long a home may take to place, queue or refuse a request before the next home is asked.
+	// firstVerdictTimeout is how long a home may take to place, queue or refuse a request before the next home is tried.
 	// Once the home has queued the request, it is waited for until the deadline or the end of its stream.
 	firstVerdictTimeout = 60 * time.Millisecond
 	// noConfigurationRetryAfter is the Retry-After time of a host that has no configuration yet.
@@ -35,7 +35,7 @@
 	goal     time.Duration
 	deadline time.Duration
 	pending  *pendingRequest
-	// placer is the home that was asked last; it is nil before the first call.
+	// placer is the home that the request was last sent to for placement; it is nil before the first call of place.
 	placer placer
 	// tried names the targets that the request was sent to.
 	tried []string
@@ -189,8 +189,8 @@
 	return refusalResponse(placement.Refused{Reason: placement.ReasonDeadlineCannotBeMet, RetryAfter: refusedRetryAfter})
 }
 
-// place asks the service's homes, one after the other, which target to use. Both results are nil when the context
-// ended first.
+// place submits the request to the service's homes, one after the other, until one of them places or refuses it. Both
+// results are nil when the context ended first.
 func (x *exchange) place(ctx context.Context) (*placement.Placed, *placement.Refused) {
 	for _, p := range x.gateway.homeClient.placers(x.service) {
 		x.placer = p
@@ -262,7 +262,7 @@
 	}
 }
 
-// runWithHedge runs the request on a target, and on a second one when the home sends a hedge. The first run with outcome
+// runWithHedge runs the request on a target, and on a second one when the home decides to hedge it. The first run with outcome
 // OutcomeAnswered cancels the other one; after a 5xx response or another failure the other run is waited for.
 func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *runResult {
 	runs := hedgedRuns{exchange: x, results: make(chan *runResult, 2)}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -182,11 +182,11 @@
 
 // reply is the response to a call, or its error.
 type reply struct {
-	status int
-	header http.Header
-	body   string
-	err    error
-	took   time.Duration
+	status   int
+	header   http.Header
+	body     string
+	err      error
+	duration time.Duration
 }
 
 // call sends one request on a new connection.
@@ -203,7 +203,7 @@
 	defer cancel()
 	response, err := transport.RoundTrip(r.WithContext(ctx))
 	if err != nil {
-		return reply{err: err, took: time.Since(started)}
+		return reply{err: err, duration: time.Since(started)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestSafeIsTriedAgain lets one target break connections or refuse requests: every safe request still succeeds. Only
+// TestSafeRequestIsRetried lets one target break connections or refuse requests: every safe request still succeeds. Only
 // one target does so because the rule allows two attempts.
-func TestSafeIsTriedAgain(t *testing.T) {
+func TestSafeRequestIsRetried(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*standin.Target)
@@ -241,9 +241,9 @@
 	})
 }
 
-// TestLeavingTargetGetsNothing registers one target as draining and removes the entry of another: neither gets a request
+// TestDrainingTargetGetsNoRequests registers one target as draining and removes the entry of another: neither gets a request
 // later than a second after that, and all requests succeed.
-func TestLeavingTargetGetsNothing(t *testing.T) {
+func TestDrainingTargetGetsNoRequests(t *testing.T) {
 	withFleet(t, 3, 4, func(f *fleet) {
 		f.register(f.targets["t0"], "draining")
 		f.store.Delete("servers/t1")
@@ -336,7 +336,7 @@
 						f.is.Equal(r.status, 200)
 						mu.Lock()
 						defer mu.Unlock()
-						slowest = max(slowest, r.took)
+						slowest = max(slowest, r.duration)
 					})
 					time.Sleep(25 * time.Millisecond)
 				}
@@ -372,9 +372,9 @@
 	})
 }
 
-// TestCallerLeaves closes a caller's connection: the run of a safe request is cancelled within half a second, that of an
+// TestCallerDisconnects closes a caller's connection: the run of a safe request is cancelled within half a second, that of an
 // unsafe one continues.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	withFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
 			x.Update(func(t *standin.Target) { t.RunDuration = 900 * time.Millisecond })
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -19,11 +19,11 @@
 	// idleSendWait is how long send waits for the next call while no request waits for the home. After that it checks
 	// again whether one does.
 	idleSendWait = time.Minute
-	// suspectTime is how long a home that did not answer, or whose stream ended, is not asked again.
+	// suspectTime is how long no requests are sent to a home that did not answer or whose stream ended.
 	suspectTime = 500 * time.Millisecond
 	// placeCallQueueSize is the number of calls that may be queued for a home that reads slowly.
 	placeCallQueueSize = 1024
-	// maxRemoteHomes is how many other hosts are asked at most before this host places the request itself.
+	// maxRemoteHomes is the number of other hosts to which a request is sent for placement before this host places it.
 	maxRemoteHomes = 2
 	// rankCacheTime is how long the ranking of a service's homes is cached.
 	rankCacheTime = 50 * time.Millisecond
@@ -36,7 +36,7 @@
 	disconnected bool
 }
 
-// pendingRequest receives the verdicts for one request of a caller, from every placer that was asked.
+// pendingRequest receives the verdicts for one request of a caller, from every placer that it was sent to.
 type pendingRequest struct {
 	// number identifies the request on placement streams.
 	number  uint64
@@ -67,7 +67,7 @@
 	pending    map[uint64]*pendingRequest
 	// remotes holds the streams by the name of the host at the other end.
 	remotes map[string]*remoteHome
-	// suspects holds, by the name of a host, the time until which it is not asked.
+	// suspects holds, by the name of a host, the time until which no requests are sent to it for placement.
 	suspects map[string]time.Duration
 	// ranks is keyed by service.
 	ranks  map[string]cachedRank
@@ -77,7 +77,7 @@
 	tasks  sync.WaitGroup
 }
 
-// cachedRank is the order in which hosts are asked to place requests of a service, as computed at a time of Gateway.now.
+// cachedRank is the order in which hosts are tried as homes of a service, as computed at a time of Gateway.now.
 type cachedRank struct {
 	at      time.Duration
 	members []host.Member
@@ -143,8 +143,8 @@
 	}
 }
 
-// rankedHomes returns the ready hosts in the order in which they are asked to place requests of a service. The first
-// is the service's primary home.
+// rankedHomes returns the ready hosts in the order in which they are tried as homes of a service. The first is the
+// service's primary home.
 func (c *homeClient) rankedHomes(service string) []host.Member {
 	now := c.gateway.now()
 	c.mu.Lock()
@@ -157,7 +157,7 @@
 	return r.members
 }
 
-// placers returns the homes to ask, best first. The last one is always this host, so that requests are placed even
+// placers returns the homes to try for a request of the service, best first. The last one is always this host, so that requests are placed even
 // when no home can be reached.
 func (c *homeClient) placers(service string) []placer {
 	now := c.gateway.now()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -57,8 +57,8 @@
 	return err
 }
 
-// handleCalls handles the messages of a placement stream until it ends. The end of a run names no service when the
-// verdict that started it could not be delivered on the requesting host.
+// handleCalls handles the messages of a placement stream until it ends. The requesting host reports the end of a run
+// without a service if it cannot deliver the verdict, for instance because the request has ended there in the meantime.
 func (p *peerServer) handleCalls(ctx context.Context, stream inner.DRPCPeer_PlaceStream, sess *session) error {
 	homes := p.gateway.homeServer
 	for ctx.Err() == nil {
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// Time limits of the promises, from the requirements of the platform.
+// Time limits of the guarantees, from the requirements of the platform.
 const (
 	// callTimeLimit is the deadline of the rules; callTimeSlack is added for the network between caller and host.
 	callTimeLimit = time.Second
@@ -76,7 +76,7 @@
 	return false
 }
 
-// scenarioRun runs a scenario against a fleet and collects violations of the promises.
+// scenarioRun runs a scenario against a fleet and collects violations of the guarantees.
 type scenarioRun struct {
 	*fleet
 	scenario scenario
@@ -94,11 +94,11 @@
 	violations  []string
 }
 
-// TestPromisesUnderFaults checks what the load balancer promises under generated combinations of faults: an unsafe
+// TestGuaranteesUnderFaults checks the load balancer's guarantees under generated combinations of faults: an unsafe
 // request runs at most once, a refused one never; responses are complete, belong to their request and arrive by the
 // deadline; a graceful stop interrupts no request; a draining target gets no new requests; a configuration takes effect
 // in time and is never replaced by an older one; and all hosts serve requests again soon after the last fault.
-func TestPromisesUnderFaults(t *testing.T) {
+func TestGuaranteesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := scenarios().Draw(rt, "scenario")
 		var violations []string
@@ -200,14 +200,14 @@
 	x.checkNoRollback(host, version, restarts)
 }
 
-// checkReply checks the promises about a single request.
+// checkReply checks the guarantees for a single request.
 func (x *scenarioRun) checkReply(host, id string, unsafe bool, r reply) {
 	runs := x.runsOf(id)
 	switch {
 	case r.err != nil:
 		x.reportViolation("%s did not answer %s completely: %v", host, id, r.err)
-	case r.took > callTimeLimit+callTimeSlack:
-		x.reportViolation("%s answered %s after its deadline, in %v", host, id, r.took)
+	case r.duration > callTimeLimit+callTimeSlack:
+		x.reportViolation("%s answered %s after its deadline, in %v", host, id, r.duration)
 	case unsafe && runs > 1:
 		x.reportViolation("unsafe request %s ran %d times", id, runs)
 	case r.status == 503 && runs > 0:
@@ -342,7 +342,8 @@
 	x.register(server, "ready")
 }
 
-// drainedAgain reports whether another fault of the scenario drains the same target, so that it may be ready in between.
+// drainedAgain reports whether another fault of the scenario drains the same target. The end of that fault may register
+// the target as ready before this fault ends.
 func (x *scenarioRun) drainedAgain(f fault) bool {
 	same := 0
 	for _, other := range x.scenario.Faults {
--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -31,7 +31,7 @@
 
 // serviceDemand is the calculated demand of one service.
 type serviceDemand struct {
-	// homes is the number of homes that this host asks for.
+	// homes is the number of homes that this host announces as needed.
 	homes int
 	// pending is the number of homes that the latest rate calls for; it replaces homes after a delay.
 	pending int
@@ -96,7 +96,7 @@
 }
 
 // HomeCount returns the number of homes of a service: the configured number given as homes, or the highest number that
-// a live host asks for (counted up to maxScaledHomes) if that is higher.
+// a live host announces as needed (counted up to maxScaledHomes) if that is higher.
 func HomeCount(service string, homes int, live []Member) int {
 	for _, m := range live {
 		for _, d := range m.Wants {
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -14,9 +14,9 @@
 	return NewMemberTable(Config{Self: Member{Name: name, Inner: name, Domain: "a", Incarnation: 1, Ready: true}, DomainFanOut: 2, Random: rand.New(rand.NewPCG(1, 1))})
 }
 
-// TestPausedHostNoticesItself simulates a pause of 30 s: the host must withdraw itself from the live hosts and must not
+// TestPausedHostDetectsPause simulates a pause of 30 s: the host must withdraw itself from the live hosts and must not
 // declare its peers dead because it did not receive their heartbeats.
-func TestPausedHostNoticesItself(t *testing.T) {
+func TestPausedHostDetectsPause(t *testing.T) {
 	is := is.New(t)
 	table := newTable("x")
 	table.BeginRound(0)
--- a/internal/meter/budget_test.go
+++ b/internal/meter/budget_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestBudgetChargesTheCore checks that measurements are denied once their processor time has used up the budget.
-func TestBudgetChargesTheCore(t *testing.T) {
+// TestBudgetLimitsProcessorTime checks that measurements are denied once their processor time has used up the budget.
+func TestBudgetLimitsProcessorTime(t *testing.T) {
 	b := NewBudget(BudgetConfig{ProbesPerSec: 1000, BytesPerSec: 1e6, CoreShare: 0.01, Epoch: time.Unix(0, 0)})
 	allowed := 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -54,7 +54,7 @@
 	// BurstOfferedLoad replaces OfferedLoad between BurstFrom and BurstUntil.
 	BurstOfferedLoad      float64
 	BurstFrom, BurstUntil time.Duration
-	// Duration is how long requests arrive.
+	// Duration is the length of the period in which requests arrive.
 	Duration time.Duration
 	// NetworkDelay is the one-way delay between two hosts, or between a host and a backend server.
 	NetworkDelay time.Duration
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -23,8 +23,8 @@
 // inGoalShare returns the share of all requests that were answered within the latency goal.
 func inGoalShare(r Result) float64 { return float64(r.InGoal) / float64(max(1, r.Requests)) }
 
-// TestRunsRepeat simulates a workload twice: the same seed must give the same result.
-func TestRunsRepeat(t *testing.T) {
+// TestSimulationIsDeterministic simulates a workload twice: the same seed must give the same result.
+func TestSimulationIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	w := workloadNamed(t, "stock-burst")
 	w.Duration = 12 * time.Second
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestHomeBeatsCounts simulates all workloads without lasting overload. The home must reach a higher utility than each
+// TestHomeBeatsBaselines simulates all workloads without lasting overload. The home must reach a higher utility than each
 // policy that sends requests immediately.
-func TestHomeBeatsCounts(t *testing.T) {
+func TestHomeBeatsBaselines(t *testing.T) {
 	for _, w := range Workloads() {
 		if strings.HasSuffix(w.Name, "twice") || strings.HasSuffix(w.Name, "fivefold") {
 			continue
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -108,8 +108,8 @@
 
 // Publish stores a note as the next record of the chain; the nonce tells the record from others with the same content.
 // The record's key is created atomically if it is absent, so that one of several concurrent publications succeeds.
-// Errors are ErrInvalid, ErrConflict, ErrOutcomeUnknown, ErrChain or platform.ErrUnavailable; the note can be in force
-// only after ErrOutcomeUnknown.
+// Errors are ErrInvalid, ErrConflict, ErrOutcomeUnknown, ErrChain or platform.ErrUnavailable. ErrOutcomeUnknown means
+// that the note may have been published; after any other error it has not been.
 func (a *Archive) Publish(ctx context.Context, n Note, nonce string, now time.Time) (Record, error) {
 	chain := &Chain{}
 	if err := a.CatchUp(ctx, chain); err != nil {
--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -36,10 +36,12 @@
 // AddRequest counts the first attempt of a request.
 func (b *RetryBudget) AddRequest(now time.Duration) { b.bucket(now).requests++ }
 
-// sums returns the extra attempts of the window that ends now, and the requests of only its second half. A window that
-// ends later may contain the same extra attempts but fewer of the requests that allowed them. The requests of the last
-// half window before an extra attempt, however, are all in each later window that contains the attempt, or all in the
-// window that ends half a window earlier. Hence the limit holds for the higher request count of these two windows.
+// sums returns the number of extra attempts in the window that ends now, and the number of requests in its second half.
+//
+// Requests of the first half are left out because a window that ends later may contain an extra attempt but no longer
+// the requests that allowed it. With half the requests, the limit holds in this sense: the requests of the half window
+// before an extra attempt are all in any later window that contains the attempt, or all in the window that ends half a
+// window earlier, and the extra attempts of a window never exceed the limit for the larger of these two counts.
 func (b *RetryBudget) sums(now time.Duration) (requests, extraAttempts int) {
 	current := b.bucket(now).index
 	for _, bucket := range b.buckets {
--- a/internal/placement/crash.go
+++ b/internal/placement/crash.go
@@ -21,8 +21,8 @@
 // crashTracker finds requests that crash every target they run on. Its keys are request fingerprints.
 type crashTracker map[uint64]*crashSuspect
 
-// connectionBroke records that the connection to a target broke while the target ran the request.
-func (c crashTracker) connectionBroke(now time.Duration, fingerprint uint64, target string) {
+// recordConnectionBreak records that the connection to a target broke while the target ran the request.
+func (c crashTracker) recordConnectionBreak(now time.Duration, fingerprint uint64, target string) {
 	if fingerprint == 0 {
 		return
 	}
@@ -38,8 +38,8 @@
 	s.lastCrashAt = now
 }
 
-// forget removes a request from the suspects, because a target has answered it.
-func (c crashTracker) forget(fingerprint uint64) { delete(c, fingerprint) }
+// remove removes a request from the suspects, because a target has answered it.
+func (c crashTracker) remove(fingerprint uint64) { delete(c, fingerprint) }
 
 // quarantined reports whether a request must not be sent to any more targets.
 func (c crashTracker) quarantined(now time.Duration, fingerprint uint64) bool {
--- a/internal/placement/end.go
+++ b/internal/placement/end.go
@@ -52,14 +52,14 @@
 	switch end.Outcome {
 	case OutcomeAnswered:
 		t.recordSuccess(now)
-		h.crashes.forget(r.Fingerprint)
+		h.crashes.remove(r.Fingerprint)
 		h.recordDuration(r, ended, end.Duration)
 		h.responseBytes[r.Class] += (float64(end.Bytes) - h.responseBytes[r.Class]) * responseBytesGain
 	case OutcomeFailed, OutcomeTimedOut:
 		t.recordFailure(now, h.mayEject(now))
 	case OutcomeConnectionBroke:
 		t.recordFailure(now, h.mayEject(now))
-		h.crashes.connectionBroke(now, r.Fingerprint, t.Name)
+		h.crashes.recordConnectionBreak(now, r.Fingerprint, t.Name)
 	case OutcomeNotRun:
 		// Count the target as full: it has more requests than this home knows of.
 		t.reportedLoad, t.loadAt = max(t.Slots, t.reportedLoad), now
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -79,9 +79,9 @@
 
 var ampleBudget = RetryBudget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
-// TestBindsLate submits more requests than there are slots: the last one is queued, and placed when the first slot
-// becomes free.
-func TestBindsLate(t *testing.T) {
+// TestQueuedRequestGetsFirstFreeSlot submits more requests than there are slots: the last one is queued, and placed when
+// the first slot becomes free.
+func TestQueuedRequestGetsFirstFreeSlot(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(2, ampleBudget)
 	for range 6 {
@@ -243,9 +243,9 @@
 	is.True(f.placedOn(f.submit(func(r *Request) { r.Fingerprint = 8 })) != "")
 }
 
-// TestLostAnswersFreeSlots loses the responses of all runs on a target: once the target reports that its slots are free,
-// the queued request is placed there.
-func TestLostAnswersFreeSlots(t *testing.T) {
+// TestLoadReportFreesSlotsOfLostResponses loses the responses of all runs on a target: once the target reports that its
+// slots are free, the queued request is placed there.
+func TestLoadReportFreesSlotsOfLostResponses(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(1, ampleBudget)
 	for range 3 {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -60,10 +60,10 @@
 	// storeReturnedAt is the end of the last store outage.
 	storeReturnedAt time.Duration
 	configuration   note.Configuration
-	// configuredBy is the change with the configuration in force. Later changes of its key may have been rejected.
-	configuredBy platform.Change
-	view         atomic.Pointer[View]
-	tombstones   int
+	// configurationChange is the change with the configuration in force. Later changes of its key may have been rejected.
+	configurationChange platform.Change
+	view                atomic.Pointer[View]
+	tombstones          int
 }
 
 // New returns an empty roster.
@@ -120,7 +120,7 @@
 		last[c.Key] = c.Revision
 	}
 	return slices.DeleteFunc(changes, func(c platform.Change) bool {
-		return c.Revision != last[c.Key] && c.Revision != r.configuredBy.Revision
+		return c.Revision != last[c.Key] && c.Revision != r.configurationChange.Revision
 	})
 }
 
@@ -170,7 +170,7 @@
 		r.config.OnRejectedEntry(change.Key, note.ErrChain.New("note %d is older than note %d, which stays in force", c.Number, r.configuration.Number))
 		return
 	}
-	r.configuration, r.configuredBy = c, change
+	r.configuration, r.configurationChange = c, change
 }
 
 // remove marks a key as deleted and reports whether the key was known. Just after a store outage, an entry may have
@@ -249,8 +249,8 @@
 	for _, state := range r.entries {
 		list = append(list, state.change)
 	}
-	if state := r.entries[r.configuredBy.Key]; state != nil && state.change.Revision != r.configuredBy.Revision {
-		list = append(list, r.configuredBy)
+	if state := r.entries[r.configurationChange.Key]; state != nil && state.change.Revision != r.configurationChange.Revision {
+		list = append(list, r.configurationChange)
 	}
 	slices.SortFunc(list, func(a, b platform.Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	return list, r.revision
