--- a/cmd/briarcroft/main.go
+++ b/cmd/briarcroft/main.go
@@ -1,5 +1,6 @@
 // Command briarcroft is a load balancer whose entry hosts recover from failures on their own and record what they
-// changed and why.
+// changed and why. The command serve runs an entry host; the other commands publish configurations, inspect entry hosts
+// and measure or try out the load balancer. Run briarcroft --help for a list.
 package main
 
 import (
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -165,8 +165,8 @@
 	return d.FieldError(section, field.Name, fmt.Sprintf("has value %q; %s", text, remedy))
 }
 
-// parseInto parses text by the type of value and stores the result there. If the text is invalid, it returns what to write
-// instead.
+// parseInto parses text by the type of value and stores the result there. If the text is invalid, it returns a hint for
+// the error message, such as "write true or false", and otherwise the empty string.
 func parseInto(value reflect.Value, text string) string {
 	switch value.Interface().(type) {
 	case string:
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -152,7 +152,7 @@
 		{"Probes", func() any { return s.probes.Load() }},
 		{"StoreCalls", func() any { return s.storeCalls.Load() }},
 		{"StoreLost", func() any { return g.storeWatch.lost.Load() }},
-		{"SilentHomes", func() any { return s.silentHomes.Load() }},
+		{"SilentHomes", func() any { return s.unresponsiveHomes.Load() }},
 		{"SlowReaders", func() any { return s.slowReaders.Load() }},
 		{"OpenConnections", func() any { return g.openConns.Load() }},
 		{"Note", func() any { return g.chain.Number() }},
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -46,9 +46,9 @@
 	// noteNumber is the number of the note (configuration revision) that was in force at the start; 0 means none.
 	noteNumber int
 	ruleFound  bool
-	// homesAsked counts the calls of placer.place, and hedges the runs that hedges have started; queued is set if a home
+	// homesTried counts the calls of placer.place, and hedges the runs that hedges have started; queued is set if a home
 	// has queued the request.
-	homesAsked, hedges int
+	homesTried, hedges int
 	queued             bool
 	// lastOutcome is the outcome of the last run or the reason of a refusal, for the request log.
 	lastOutcome string
@@ -194,7 +194,7 @@
 func (x *exchange) place(ctx context.Context) (*placement.Placed, *placement.Refused) {
 	for _, p := range x.gateway.homeClient.placers(x.service) {
 		x.placer = p
-		x.homesAsked++
+		x.homesTried++
 		p.place(x.pending, x.placementRequest())
 		v, timedOut := x.awaitVerdict(ctx, p)
 		switch v := v.(type) {
@@ -247,7 +247,7 @@
 			}
 		case <-timer.C:
 			x.gateway.homeClient.suspect(p.name())
-			x.gateway.stats.silentHomes.Add(1)
+			x.gateway.stats.unresponsiveHomes.Add(1)
 			return nil, false
 		case <-ctx.Done():
 			return nil, true
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -179,7 +179,7 @@
 	h.home.SetTargets(h.server.gateway.now(), targets)
 }
 
-// place asks the service's placement state for a target. Verdicts follow through sendVerdict.
+// place submits a request to the home of its service on this host. Verdicts follow through sendVerdict.
 func (s *homeServer) place(service string, r *placement.Request) {
 	h := s.serviceHome(service)
 	ranked := s.gateway.homeClient.rankedHomes(service)
@@ -226,7 +226,7 @@
 	h.home.CancelQueued(id)
 }
 
-// sendVerdict sends a verdict to the host that asked; its caller holds the lock of the service's placement state.
+// sendVerdict sends a verdict to the host that sent the request; its caller holds the lock of the service's placement state.
 func (s *homeServer) sendVerdict(r *placement.Request, v placement.Verdict) {
 	s.mu.Lock()
 	sess := s.sessions[r.ID.Stream]
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -29,9 +29,9 @@
 	id, rule, service, home  string
 	outcome, reason, targets string
 	status, note             int
-	homesAsked, hedges       int
+	homesTried, hedges       int
 	queued, sent, late       bool
-	took, remaining          time.Duration
+	duration, remaining      time.Duration
 	// verdict is the last verdict about the request, with the estimates that it was based on.
 	verdict placement.Verdict
 }
@@ -71,7 +71,7 @@
 // add queues an entry unless the rate limit is reached or the queue is full.
 func (r *requestLog) add(entry logEntry) {
 	limiter := r.notable
-	if entry.status < 300 && entry.homesAsked == 1 && entry.hedges == 0 && entry.sent && !entry.late {
+	if entry.status < 300 && entry.homesTried == 1 && entry.hedges == 0 && entry.sent && !entry.late {
 		limiter = r.routine
 	}
 	if !limiter.Allow() || !r.entries.Push(entry) {
@@ -90,8 +90,8 @@
 	e.
 		Time("At", entry.at).Str("Request", entry.id).Str("Rule", entry.rule).Str("Service", entry.service).Str("Home", entry.home).
 		Str("Targets", entry.targets).Str("Outcome", entry.outcome).Str("Reason", entry.reason).Int("Status", entry.status).Int("Note", entry.note).
-		Int("Asks", entry.homesAsked).Int("Hedges", entry.hedges).Bool("Queued", entry.queued).Bool("Sent", entry.sent).Bool("Late", entry.late).
-		Dur("TookMilliseconds", entry.took).Dur("LeftMilliseconds", entry.remaining).Int64("Unwritten", r.unwritten.Load()).
+		Int("Asks", entry.homesTried).Int("Hedges", entry.hedges).Bool("Queued", entry.queued).Bool("Sent", entry.sent).Bool("Late", entry.late).
+		Dur("TookMilliseconds", entry.duration).Dur("LeftMilliseconds", entry.remaining).Int64("Unwritten", r.unwritten.Load()).
 		Msg("request ended")
 }
 
@@ -99,8 +99,8 @@
 // no verdict within firstVerdictTimeout; slowReaders, hosts cut off because they did not read their verdicts; truncated,
 // responses that could not be sent completely; rejected, requests that could not be read.
 type stats struct {
-	requests, attempts, probes, storeCalls, silentHomes, slowReaders, rejected atomic.Int64
-	answered, refused, failed, notFound, truncated                             atomic.Int64
+	requests, attempts, probes, storeCalls, unresponsiveHomes, slowReaders, rejected atomic.Int64
+	answered, refused, failed, notFound, truncated                                   atomic.Int64
 }
 
 // finish counts and logs how a request ended; sent reports whether the whole response was written.
@@ -121,7 +121,7 @@
 	}
 	entry := logEntry{
 		at: time.Now().UTC(), id: x.request.attemptID, rule: x.rule.Name, service: x.service, outcome: x.lastOutcome, reason: response.reason,
-		status: response.status, note: x.noteNumber, homesAsked: x.homesAsked, hedges: x.hedges, queued: x.queued, sent: sent, took: took,
+		status: response.status, note: x.noteNumber, homesTried: x.homesTried, hedges: x.hedges, queued: x.queued, sent: sent, duration: took,
 		remaining: x.deadline - g.now(), late: x.ruleFound && g.now() > x.goal, verdict: x.verdict,
 	}
 	if x.placer != nil {
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -26,8 +26,8 @@
 	Hedges bool
 }
 
-// LeastInFlight sends each request immediately to the server with the fewest requests in flight. Requests are spread at
-// random over as many entry hosts as Hosts says, each of which counts only the requests that it sent itself.
+// LeastInFlight sends each request immediately to the server with the fewest requests in flight. Requests arrive at
+// random at one of Hosts entry hosts, each of which counts only the requests that it sent itself.
 type LeastInFlight struct{ Hosts int }
 
 // AtRandom sends each request immediately to a random server.
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -302,8 +302,8 @@
 	}
 }
 
-// TestWarmingEnds repeats SetTargets with an unchanged target that is warming up: this must not prolong its warm-up.
-func TestWarmingEnds(t *testing.T) {
+// TestWarmUpEnds repeats SetTargets with an unchanged target that is warming up: this must not prolong its warm-up.
+func TestWarmUpEnds(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(1, ampleBudget)
 	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -1,5 +1,5 @@
-// Package platform defines how hosts use a key-value store, and provides clients of the platform's key-value store
-// and of its list of hosts.
+// Package platform defines the interfaces to the key-value store of the platform that entry hosts run on, and the types
+// of its entries and changes. It provides clients of an etcd store and of the platform's list of hosts.
 package platform
 
 import (
--- a/internal/record/book.go
+++ b/internal/record/book.go
@@ -17,7 +17,7 @@
 // It is safe for concurrent use.
 type Log struct {
 	config   LogConfig
-	recent   *ring.Recent[Record]
+	recent   *ring.RecentBuffer[Record]
 	pending  *ring.Queue[Record]
 	mu       sync.Mutex
 	sequence uint64
@@ -35,7 +35,7 @@
 func NewLog(c LogConfig) (*Log, func()) {
 	l := &Log{
 		config:  c,
-		recent:  ring.NewRecent[Record](ring.Config{Capacity: c.Capacity}),
+		recent:  ring.NewRecentBuffer[Record](ring.Config{Capacity: c.Capacity}),
 		pending: ring.NewQueue[Record](ring.Config{Capacity: writeQueueCapacity}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -15,7 +15,7 @@
 	dropped atomic.Int64
 }
 
-// Config configures a Queue or a Recent.
+// Config configures a Queue or a RecentBuffer.
 type Config struct {
 	// Capacity is the maximum number of items.
 	Capacity int
@@ -71,8 +71,8 @@
 // Put returns a slice to the pool; the caller must not use it afterwards.
 func (b *BufferPool) Put(buffer *[]byte) { b.pool.Put(buffer) }
 
-// Recent holds the most recently added items, up to its capacity. It is safe for concurrent use.
-type Recent[T any] struct {
+// RecentBuffer holds the most recently added items, up to its capacity. It is safe for concurrent use.
+type RecentBuffer[T any] struct {
 	mu    sync.Mutex
 	items []T
 	// next is the index at which the next item is stored.
@@ -81,13 +81,13 @@
 	full bool
 }
 
-// NewRecent returns an empty Recent; a capacity below 1 counts as 1.
-func NewRecent[T any](c Config) *Recent[T] {
-	return &Recent[T]{items: make([]T, max(1, c.Capacity))}
+// NewRecentBuffer returns an empty RecentBuffer; a capacity below 1 counts as 1.
+func NewRecentBuffer[T any](c Config) *RecentBuffer[T] {
+	return &RecentBuffer[T]{items: make([]T, max(1, c.Capacity))}
 }
 
 // Add stores an item, which replaces the oldest one if the capacity is reached.
-func (r *Recent[T]) Add(item T) {
+func (r *RecentBuffer[T]) Add(item T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.items[r.next] = item
@@ -96,7 +96,7 @@
 }
 
 // Items returns a copy of the items, oldest first.
-func (r *Recent[T]) Items() []T {
+func (r *RecentBuffer[T]) Items() []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.full {
