--- a/internal/entry/explain_test.go
+++ b/internal/entry/explain_test.go
@@ -50,9 +50,9 @@
 			kinds[r.Cause] = true
 		}
 		f.is.True(kinds["FailuresInARow"] && kinds["WithdrawnByNote"])
-		isForgotten := func(r record.Record) bool { return r.Kind == record.TargetForgotten && r.Target == "target-4" }
-		f.is.True(slices.ContainsFunc(records, isForgotten))
-		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), isForgotten)) // also recorded by a host without requests
+		isTargetRemoval := func(r record.Record) bool { return r.Kind == record.TargetForgotten && r.Target == "target-4" }
+		f.is.True(slices.ContainsFunc(records, isTargetRemoval))
+		f.is.True(slices.ContainsFunc(f.nodes["entry-2"].host.records.Since("", time.Time{}), isTargetRemoval)) // also recorded by a host without requests
 		targetCounts := map[int]bool{}
 		for _, i := range observations {
 			f.is.Equal(record.EligibleTargets(records, "s", i.at), i.names) // eligible targets according to the records
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -46,11 +46,11 @@
 	withFleetServing(t, 1, 4, echo, func(f *fleet, backends []*fakeBackend) {
 		host := f.nodes["entry-1"]
 		f.warmUp(host, 200)
-		silenced := 0
+		blackholed := 0
 		for _, b := range backends {
-			silenced += f.net.Blackhole("entry-1", b.name)
+			blackholed += f.net.Blackhole("entry-1", b.name)
 		}
-		f.is.True(silenced >= 8)
+		f.is.True(blackholed >= 8)
 		var worst time.Duration
 		for i := range 20 {
 			began := time.Now()
@@ -65,7 +65,7 @@
 		f.is.NoErr(err)
 		f.is.Equal(response.StatusCode, http.StatusOK)
 		f.is.True(time.Since(began) < 100*time.Millisecond) // a keyed request uses a new connection or a recently used one
-		t.Logf("%d connections went silent; slowest GET request after that %v", silenced, worst)
+		t.Logf("%d connections went silent; slowest GET request after that %v", blackholed, worst)
 	})
 }
 
@@ -122,9 +122,9 @@
 		if start > 0 {
 			w.WriteHeader(http.StatusPartialContent)
 		}
-		cut := false
-		once.Do(func() { cut = true })
-		if cut {
+		truncate := false
+		once.Do(func() { truncate = true })
+		if truncate {
 			_, _ = w.Write([]byte(text[:documentBytes/2]))
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -170,10 +170,10 @@
 		}
 		h.callerTLS = files.CallerTLS()
 	}
-	var closeBook, closeClient, closeSteering func()
-	h.records, closeBook = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
+	var closeRecords, closeClient, closeDispatcher func()
+	h.records, closeRecords = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
 	h.client, closeClient = inner.NewClient(inner.ClientConfig{TLS: h.peerTLS, Dial: h.config.Dial})
-	h.dispatcher, closeSteering = steering.New(steering.Config{
+	h.dispatcher, closeDispatcher = steering.New(steering.Config{
 		Records: h.records, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.triggerHeartbeat, Dial: h.config.Dial,
 	})
 	h.archive = note.NewArchive(note.ArchiveConfig{Store: h.config.Store})
@@ -200,9 +200,9 @@
 	h.heartbeats = &inner.Heartbeats{Table: h.membership, Client: h.client, Now: h.now, NewRequest: h.heartbeatRequest, OnReply: h.handleHeartbeatReply}
 	h.callerServer = h.newCallerServer()
 	return func() {
-		closeSteering()
+		closeDispatcher()
 		closeClient()
-		closeBook()
+		closeRecords()
 	}, nil
 }
 
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -34,11 +34,11 @@
 func (f *fleet) awaitLive(count int, limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
-		agree := true
+		allMatch := true
 		for _, n := range f.nodes {
-			agree = agree && len(n.host.membership.Live(n.host.now())) == count
+			allMatch = allMatch && len(n.host.membership.Live(n.host.now())) == count
 		}
-		if agree {
+		if allMatch {
 			return time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -69,9 +69,9 @@
 	s.f.publish(text)
 	s.f.awaitNote(1, 10*time.Second)
 	s.f.awaitPeers(10 * time.Second)
-	stop, chaos := make(chan struct{}), make(chan struct{})
+	stop, faultsDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(chaos)
+		defer close(faultsDone)
 		s.injectFaults(stop)
 	}()
 	var callers sync.WaitGroup
@@ -84,7 +84,7 @@
 	}
 	callers.Wait()
 	close(stop)
-	<-chaos
+	<-faultsDone
 	time.Sleep(10 * time.Second)
 	s.t.Logf("%d requests, %d sends, outcomes %v, faults %v", requests, s.sends, s.outcomes, s.faults)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -81,8 +81,8 @@
 	AddressesPath string
 	// ParseAddresses returns the failure domain and region of the caller that requests AddressesPath.
 	ParseAddresses func(*http.Request) (domain, region string)
-	// AddressesBody returns the response to such a request, to be encoded as JSON; callers may keep it for keepSeconds.
-	AddressesBody func(addresses []string, keepSeconds int) any
+	// AddressesBody returns the response to such a request, to be encoded as JSON; callers may cache it for maxAgeSeconds.
+	AddressesBody func(addresses []string, maxAgeSeconds int) any
 }
 
 // Config sets up a Gateway.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -470,7 +470,7 @@
 		for i := range hosts {
 			f.start(fmt.Sprintf("h%d", i), domainOf(i))
 		}
-		survey := func() (fewest int, homes map[string]bool) {
+		collectViews := func() (fewest int, homes map[string]bool) {
 			fewest, homes = hosts, map[string]bool{}
 			for _, n := range f.hosts {
 				live, home := n.gateway.ReadyHosts("stock")
@@ -480,10 +480,10 @@
 			return fewest, homes
 		}
 		time.Sleep(500 * time.Millisecond)
-		_, homes := survey()
+		_, homes := collectViews()
 		f.is.Equal(len(homes), 1)
 		time.Sleep(1500 * time.Millisecond)
-		fewest, _ := survey()
+		fewest, _ := collectViews()
 		f.is.Equal(fewest, hosts)
 	})
 }
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -40,8 +40,8 @@
 // verdictQueueSize is the number of verdicts that may be queued for a host that reads slowly.
 const verdictQueueSize = 1024
 
-// homeServer places requests on behalf of other hosts and of this one. It does so for each service that it is asked
-// for: as the primary home, or as a fallback home while others cannot be reached.
+// homeServer places the requests that other hosts and this one send to it, of any service: as the service's primary
+// home, or as a fallback home while others cannot be reached.
 type homeServer struct {
 	gateway  *Gateway
 	mu       sync.Mutex
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/promises_test.go
@@ -108,7 +108,7 @@
 			violations = r.violations
 		})
 		if len(violations) > 0 {
-			rt.Fatalf("%d violations of the promises: %v", len(violations), violations)
+			rt.Fatalf("%d violations of the guarantees: %v", len(violations), violations)
 		}
 	})
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -105,7 +105,7 @@
 
 // finish counts and logs how a request ended; sent reports whether the whole response was written.
 func (g *Gateway) finish(x *exchange, response *callerResponse, sent bool) {
-	took := g.now() - x.request.arrived
+	duration := g.now() - x.request.arrived
 	s := &g.stats
 	switch {
 	case !sent:
@@ -121,7 +121,7 @@
 	}
 	entry := logEntry{
 		at: time.Now().UTC(), id: x.request.attemptID, rule: x.rule.Name, service: x.service, outcome: x.lastOutcome, reason: response.reason,
-		status: response.status, note: x.noteNumber, homesTried: x.homesTried, hedges: x.hedges, queued: x.queued, sent: sent, duration: took,
+		status: response.status, note: x.noteNumber, homesTried: x.homesTried, hedges: x.hedges, queued: x.queued, sent: sent, duration: duration,
 		remaining: x.deadline - g.now(), late: x.ruleFound && g.now() > x.goal, verdict: x.verdict,
 	}
 	if x.placer != nil {
@@ -135,6 +135,6 @@
 	}
 	g.requestLog.add(entry)
 	if x.ruleFound {
-		g.histograms.Record(meter.Key{Service: x.service, Class: x.rule.Class}, took)
+		g.histograms.Record(meter.Key{Service: x.service, Class: x.rule.Class}, duration)
 	}
 }
--- a/internal/host/news.go
+++ b/internal/host/news.go
@@ -45,12 +45,12 @@
 		_, _ = d.WriteString(w.Service)
 		_, _ = d.Write([]byte{0, byte(w.Homes)})
 	}
-	var fixed [19]byte
-	binary.LittleEndian.PutUint64(fixed[:], m.Incarnation)
-	binary.LittleEndian.PutUint64(fixed[8:], uint64(m.Note))
-	fixed[16], fixed[17] = boolByte(m.Leaving), boolByte(m.Ready)
-	fixed[18] = boolByte(m.StoreLost)
-	_, _ = d.Write(fixed[:])
+	var fixedFields [19]byte
+	binary.LittleEndian.PutUint64(fixedFields[:], m.Incarnation)
+	binary.LittleEndian.PutUint64(fixedFields[8:], uint64(m.Note))
+	fixedFields[16], fixedFields[17] = boolByte(m.Leaving), boolByte(m.Ready)
+	fixedFields[18] = boolByte(m.StoreLost)
+	_, _ = d.Write(fixedFields[:])
 	return MemberHash(d.Sum64())
 }
 
--- a/internal/inner/tls_test.go
+++ b/internal/inner/tls_test.go
@@ -124,10 +124,10 @@
 	is.NoErr(err)
 	is.True(call(inner.ClientConfig{TLS: untrustedPeer}) != nil) // the server rejects the client
 	certificate, key = trusted.sign("distrustful-peer")
-	distrustfulPeer, err := loadPeerTLS(certificate, key, filepath.Join(untrusted.dir, "authority.pem"))
+	peerWithOtherAuthority, err := loadPeerTLS(certificate, key, filepath.Join(untrusted.dir, "authority.pem"))
 	is.NoErr(err)
-	is.True(call(inner.ClientConfig{TLS: distrustfulPeer}) != nil) // the client rejects the server
-	is.True(call(inner.ClientConfig{}) != nil)                     // plain TCP
+	is.True(call(inner.ClientConfig{TLS: peerWithOtherAuthority}) != nil) // the client rejects the server
+	is.True(call(inner.ClientConfig{}) != nil)                            // plain TCP
 	// The server gets another authority: certificates that it accepted before are rejected now.
 	untrustedPEM, err := os.ReadFile(filepath.Join(untrusted.dir, "authority.pem"))
 	is.NoErr(err)
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -98,9 +98,9 @@
 
 // release frees the slot or queue place of a run and starts queued runs.
 func (s *server) release(r *run) {
-	isRun := func(other *run) bool { return other == r }
-	s.queued = slices.DeleteFunc(s.queued, isRun)
-	s.running = slices.DeleteFunc(s.running, isRun)
+	isSameRun := func(other *run) bool { return other == r }
+	s.queued = slices.DeleteFunc(s.queued, isSameRun)
+	s.running = slices.DeleteFunc(s.running, isSameRun)
 	for len(s.queued) > 0 && len(s.running) < s.sim.workload.Slots {
 		next := s.queued[0]
 		s.queued = s.queued[1:]
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -144,8 +144,8 @@
 		return meanLatency
 	}
 	age := now - t.latencyAt
-	steady := meanLatency + (t.slowMean-meanLatency)*decay(age, slowTimeConstant)
-	expected := steady + (t.fastMean-steady)*fastShare*decay(age, fastTimeConstant)
+	slowEstimate := meanLatency + (t.slowMean-meanLatency)*decay(age, slowTimeConstant)
+	expected := slowEstimate + (t.fastMean-slowEstimate)*fastShare*decay(age, fastTimeConstant)
 	return max(expected, t.overdueLatency(now, expected)) * t.missingResponseFactor(now, meanLatency)
 }
 
