--- a/internal/entry/frontend.go
+++ b/internal/entry/frontend.go
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	// The deadline applies until the response begins. After that, a streamed body may take longer than the deadline;
-	// only the write time-out in copyBody limits it.
+	// only the write timeout in copyBody limits it.
 	deadline := time.AfterFunc(time.Until(request.Deadline), cancel)
 	defer deadline.Stop()
 	result := service.Run(ctx, request)
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -70,7 +70,7 @@
 // stallTimeout.
 func (f *frontend) bufferBody(w http.ResponseWriter, r *http.Request, request *steering.Request, body io.Reader, limit int) (*steering.Request, *steering.Refusal) {
 	control := http.NewResponseController(w)
-	// An error means that the server does not support deadlines, as in some tests; its header time-out still applies.
+	// An error means that the server does not support deadlines, as in some tests; its header timeout still applies.
 	_ = control.SetReadDeadline(time.Now().Add(stallTimeout))
 	text, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
 	_ = control.SetReadDeadline(time.Time{})
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -101,7 +101,7 @@
 }
 
 // writeChunked sends a response of unknown length. After a read error the last chunk is left out, so that the caller
-// recognises the response as incomplete.
+// recognizes the response as incomplete.
 func (c *callerConn) writeChunked(w *bufio.Writer, r *callerResponse) error {
 	chunks := chunkWriter{c, w}
 	if _, err := chunks.Write(r.body); err != nil {
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -102,7 +102,7 @@
 }
 
 // awaitHandlers waits for the requests that are being handled and closes the connection. If the caller disconnects
-// meanwhile, its repeatable requests are cancelled.
+// meanwhile, its repeatable requests are canceled.
 func (c *callerConn) awaitHandlers(handlers *sync.WaitGroup) {
 	readEnded := make(chan struct{})
 	go func() {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -325,7 +325,7 @@
 	}
 }
 
-// discardResults waits for the cancelled runs and closes their responses.
+// discardResults waits for the canceled runs and closes their responses.
 func (h *hedgedRuns) discardResults() {
 	for range h.active {
 		if r := <-h.results; r.response != nil && r.response.unread != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -134,7 +134,7 @@
 	followers  followers
 	storeWatch watchState
 	bodies     bodyBudget
-	// applyMu serialises applyView and guards targetStates, which holds the recorded state of each target by name.
+	// applyMu serializes applyView and guards targetStates, which holds the recorded state of each target by name.
 	applyMu      sync.Mutex
 	targetStates map[string]string
 	// stopping is set once a graceful stop has begun.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -168,7 +168,7 @@
 	return defaultLimits
 }
 
-// fingerprint returns a hash of the caller's address, host, method, URI and body. It recognises repetitions of a
+// fingerprint returns a hash of the caller's address, host, method, URI and body. It recognizes repetitions of a
 // request that makes targets crash.
 func (q *request) fingerprint() uint64 {
 	d := xxhash.New()
--- a/internal/model/loads.go
+++ b/internal/model/loads.go
@@ -3,7 +3,7 @@
 import "time"
 
 // StockWorkload returns the workload of a lookup service with few slots per server, a tight latency goal and short caller
-// time-outs.
+// timeouts.
 func StockWorkload() Workload {
 	return Workload{
 		Name: "stock", Targets: 14, Slots: 3, ServiceTime: 90 * time.Millisecond, ServiceTimeSigma: 0.3,
@@ -15,7 +15,7 @@
 }
 
 // LookupWorkload returns the workload of a lookup service with more slots per server, longer requests and fewer servers
-// slowed by noisy neighbours.
+// slowed by noisy neighbors.
 func LookupWorkload() Workload {
 	w := StockWorkload()
 	w.Name, w.Targets, w.Slots, w.ServiceTime = "lookup", 13, 4, 160*time.Millisecond
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
 // Package model simulates load-balancing policies in virtual time, to compare and test them without a network.
 //
-// A workload describes a service: backend servers with a number of slots and a short queue, noisy neighbours that slow
-// servers down for fractions of a second, callers with a latency goal and a time-out, and faults of servers. The policies
+// A workload describes a service: backend servers with a number of slots and a short queue, noisy neighbors that slow
+// servers down for fractions of a second, callers with a latency goal and a timeout, and faults of servers. The policies
 // are placement by a home, as the gateway does it with package placement, an ideal queue as the upper bound, and the
 // usual least-requests and random load balancing.
 package model
@@ -58,7 +58,7 @@
 	Duration time.Duration
 	// NetworkDelay is the one-way delay between two hosts, or between a host and a backend server.
 	NetworkDelay time.Duration
-	// NoisyShare is the mean share of servers slowed by noisy neighbours. A request takes NoisyPace times as long there.
+	// NoisyShare is the mean share of servers slowed by noisy neighbors. A request takes NoisyPace times as long there.
 	// Whether a server is slowed is drawn anew at random times, NoiseInterval apart on average.
 	NoisyShare    float64
 	NoisyPace     float64
@@ -87,7 +87,7 @@
 	Workload string
 	// Requests is the number of requests. Each of them is in one of the next four counts.
 	Requests int
-	// InGoal counts responses within the latency goal, and Late those after it but within the caller's time-out.
+	// InGoal counts responses within the latency goal, and Late those after it but within the caller's timeout.
 	InGoal int
 	Late   int
 	// Refused counts requests that the policy or a full server refused, and Lost those for which the caller timed out.
@@ -103,7 +103,7 @@
 	// ExtraAttempts is the number of hedges, those during the warm-up included, per counted request. There are no retries
 	// in the simulation.
 	ExtraAttempts float64
-	// LateRefusalShare is the share of refused requests whose refusal came after more than half of the caller's time-out.
+	// LateRefusalShare is the share of refused requests whose refusal came after more than half of the caller's timeout.
 	LateRefusalShare float64
 }
 
@@ -156,7 +156,7 @@
 }
 
 // Capacity returns the capacity of a service in requests per second. It counts the mean number of servers that are not
-// slowed by neighbours, and on each the slots that can be in use before it is nearly full.
+// slowed by neighbors, and on each the slots that can be in use before it is nearly full.
 func Capacity(w Workload) float64 {
 	usable := 0
 	for n := 1; n <= w.Slots; n++ {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestRefusesEarly checks that under overload, requests that cannot be served are refused early: at most 10% of the
-// refused requests may have waited for more than half of the caller's time-out.
+// refused requests may have waited for more than half of the caller's timeout.
 func TestRefusesEarly(t *testing.T) {
 	for _, name := range []string{"stock-burst", "lookup-burst", "stock-twice", "lookup-twice", "stock-fivefold", "lookup-fivefold"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -26,7 +26,7 @@
 	sim   *simulation
 	name  string
 	index int
-	// pace is the factor by which noisy neighbours lengthen service times at present, at least 1.
+	// pace is the factor by which noisy neighbors lengthen service times at present, at least 1.
 	pace    float64
 	running []*run
 	queued  []*run
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -93,7 +93,7 @@
 	is.True(f.placedOn(waiting) != "")
 }
 
-// TestAvoidsNoisyTargets slows one of two targets down, as a noisy neighbour does: requests are placed on the other one,
+// TestAvoidsNoisyTargets slows one of two targets down, as a noisy neighbor does: requests are placed on the other one,
 // or queued for it while their goal allows.
 func TestAvoidsNoisyTargets(t *testing.T) {
 	is := is.New(t)
@@ -340,7 +340,7 @@
 
 // TestRetryBudgetIsNeverExceeded spends extra attempts in random patterns: no sliding window has more of them than the
 // ratio and slack allow. The ratio applies to the requests of that window, of the window before it or of the one half a
-// window earlier, whichever has the most. The owners of the services count in the same way.
+// window earlier, whichever has the most. The owners of the services measure the limit in the same way.
 func TestRetryBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := RetryBudget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -19,7 +19,7 @@
 	// downProbeInterval is the probe interval of a target that is down.
 	downProbeInterval = 100 * time.Millisecond
 	// maxPaceAge is the age up to which a reported pace is used for a placement without a new probe. It is a fraction of
-	// the few hundred milliseconds in which the load of neighbouring workloads changes.
+	// the few hundred milliseconds in which the load of neighboring workloads changes.
 	maxPaceAge = 25 * time.Millisecond
 	// maxProbeWait is how long a request waits for probe results: one round trip and two scheduling delays.
 	maxProbeWait = 8 * time.Millisecond
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -8,7 +8,7 @@
 
 // Parameters of the state of a target. A decay time is the time constant of an exponential decay.
 const (
-	// paceDecayTime is the decay time of a reported pace. The load that neighbouring workloads put on the target's
+	// paceDecayTime is the decay time of a reported pace. The load that neighboring workloads put on the target's
 	// machine changes within a few hundred milliseconds.
 	paceDecayTime = 300 * time.Millisecond
 	// maxLoadAge is how long a reported load is used. After that, only the runs that this home has placed are counted.
