--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -372,8 +372,8 @@
 	})
 }
 
-// TestCallerDisconnects closes a caller's connection: the run of a safe request is canceled within half a second, that of an
-// unsafe one continues.
+// TestCallerDisconnects closes a caller's connection: the run of a safe request is canceled within half a second, that
+// of an unsafe one continues.
 func TestCallerDisconnects(t *testing.T) {
 	withFleet(t, 2, 2, func(f *fleet) {
 		for _, x := range f.targets {
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -76,8 +76,8 @@
 	return &homeServer{gateway: g, services: map[string]*serviceHome{}, sessions: map[uint64]*session{}, requestArrived: ring.NewQueue[struct{}](ring.Config{Capacity: 1})}
 }
 
-// openSession registers a placement stream. Another host has its verdicts queued and is cut off with disconnect; for
-// this host deliverLocal is called with each verdict.
+// openSession registers a placement stream. Verdicts for another host are queued for its stream, which disconnect closes;
+// those for this host are passed to deliverLocal.
 func (s *homeServer) openSession(deliverLocal func(uint64, placement.Verdict), disconnect context.CancelFunc) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -95,8 +95,8 @@
 		Msg("request ended")
 }
 
-// stats holds the counters that the metrics page shows. Those with less obvious names are: silentHomes, homes that gave
-// no verdict within firstVerdictTimeout; slowReaders, hosts cut off because they did not read their verdicts; truncated,
+// stats holds the counters that the metrics page shows. Those with less obvious names are: unresponsiveHomes, homes that
+// gave no verdict within firstVerdictTimeout; slowReaders, hosts cut off because they did not read their verdicts; truncated,
 // responses that could not be sent completely; rejected, requests that could not be read.
 type stats struct {
 	requests, attempts, probes, storeCalls, unresponsiveHomes, slowReaders, rejected atomic.Int64
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -41,8 +41,8 @@
 	followKeepAliveInterval = 500 * time.Millisecond
 	// followSilenceTimeout is how long a followed host may send nothing before its stream is closed.
 	followSilenceTimeout = 3 * followKeepAliveInterval
-	// catchUpDelay is how long to wait for a newer note (configuration revision) to arrive from the watchers before the
-	// peer that has it is asked.
+	// catchUpDelay is how long to wait for a newer note (configuration revision) to arrive from the watchers before it is
+	// fetched from the peer that has it.
 	catchUpDelay = 300 * time.Millisecond
 	// catchUpTimeout is how long a peer may take to send all its entries of the store.
 	catchUpTimeout = time.Second
@@ -193,7 +193,7 @@
 	return g.config.Store.Write(ctx, []platform.Entry{{Key: key, Value: []byte(g.settings.Host.PeerAddress())}}, nil)
 }
 
-// markStoreReturned handles the end of an outage of the store and tells the followers about it.
+// markStoreReturned handles the end of an outage of the store and reports it to the followers.
 func (g *Gateway) markStoreReturned() {
 	if g.storeWatch.lost.Load() && g.roster.StoreReturned(g.now()) {
 		g.followers.broadcast(storeUpdate{returned: true})
@@ -300,8 +300,8 @@
 	}
 }
 
-// runCatchUp is the background task that asks a peer with a newer note for its entries when the watchers have not sent
-// them in time. The watchers may be slow, or unreachable from this host only.
+// runCatchUp is the background task that fetches the entries of the store from a peer with a newer note when the
+// watchers have not sent them in time. The watchers may be slow, or unreachable from this host only.
 func (g *Gateway) runCatchUp(ctx context.Context) {
 	for {
 		m, ok := g.peersAhead.Pop(ctx)
