--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -49,7 +49,8 @@
 	maxRecords = 8192
 	// maxNoteHints is how many hints to newer notes may be queued; further ones are dropped.
 	maxNoteHints = 64
-	// heartbeatPeersPerDomain is how many peers of each failure domain a round of heartbeats goes to.
+	// heartbeatPeersPerDomain is how many peers of this host's failure domain receive each round of heartbeats. Of each
+	// other failure domain one peer does.
 	heartbeatPeersPerDomain = 2
 )
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,8 +47,8 @@
 // maxRecords is the number of change records that are kept for the operator's explain page.
 const maxRecords = 256
 
-// heartbeatsPerDomain is how many peers of this host's failure domain get each round of heartbeats. Of each
-// other domain one peer does.
+// heartbeatsPerDomain is how many peers of this host's failure domain receive each round of heartbeats. Of each other
+// failure domain one peer does.
 const heartbeatsPerDomain = 2
 
 // Dialect holds the header fields, paths and formats that a platform uses between callers, entry hosts, backend
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -157,8 +157,8 @@
 	return r.members
 }
 
-// placers returns the homes to try for a request of the service, best first. The last one is always this host, so that requests are placed even
-// when no home can be reached.
+// placers returns the homes to try for a request of the service, best first. The last one is always this host, so that
+// requests are placed even when no home can be reached.
 func (c *homeClient) placers(service string) []placer {
 	now := c.gateway.now()
 	self := c.gateway.settings.Host.Name
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -21,7 +21,7 @@
 const storeReturnGrace = 2 * time.Second
 
 // maxTombstones is the number of deletions that are remembered, so that an older write that arrives late is ignored.
-// When it is exceeded, all of them are forgotten, except those of entries that are still in use.
+// When it is exceeded, all of them are dropped, except those of entries that are still in use.
 const maxTombstones = 4096
 
 // Config configures a Roster.
