--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// runWithHedge runs the request on a target, and on a second one when the home decides to hedge it. The first run with outcome
-// OutcomeAnswered cancels the other one; after a 5xx response or another failure the other run is waited for.
+// runWithHedge runs the request on a target, and on a second one when the home decides to hedge it. The first run with
+// outcome OutcomeAnswered cancels the other one; after a 5xx response or another failure the other run is waited for.
 func (x *exchange) runWithHedge(ctx context.Context, placed placement.Placed) *runResult {
 	runs := hedgedRuns{exchange: x, results: make(chan *runResult, 2)}
 	runs.start(ctx, x.placer, placed)
