--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -14,8 +14,8 @@
 	"briarcroft/internal/steering"
 )
 
-// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that receives no heartbeats
-// or knows no live host.
+// isolatedMaxAge is how long, in seconds, callers may cache the address response of a host that receives neither
+// heartbeats nor replies to its own, or knows no live host.
 const isolatedMaxAge = 1
 
 // serveAddresses answers GET /Addresses: the homes of a service, which are the entry hosts that a caller should connect
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,9 +47,9 @@
 // maxRecords is the number of change records that are kept for the operator's explain page.
 const maxRecords = 256
 
-// heartbeatsPerDomain is how many peers of this host's failure domain receive each round of heartbeats. Of each other
+// heartbeatPeersPerDomain is how many peers of this host's failure domain receive each round of heartbeats. Of each other
 // failure domain one peer does.
-const heartbeatsPerDomain = 2
+const heartbeatPeersPerDomain = 2
 
 // Dialect holds the header fields, paths and formats that a platform uses between callers, entry hosts, backend
 // servers and its store.
@@ -85,7 +85,7 @@
 	AddressesBody func(addresses []string, maxAgeSeconds int) any
 }
 
-// Config sets up a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	Settings settings.Settings
 	Dialect  Dialect
@@ -120,8 +120,8 @@
 	heartbeats *inner.Heartbeats
 	// client calls peers.
 	client *inner.Client
-	// heartbeatNow makes the next heartbeat go out at once.
-	heartbeatNow *ring.Queue[struct{}]
+	// heartbeatTrigger starts a round of heartbeats before its time.
+	heartbeatTrigger *ring.Queue[struct{}]
 	// peersAhead holds a peer that has a newer note than this host.
 	peersAhead *ring.Queue[host.Member]
 	homeServer *homeServer
@@ -155,7 +155,7 @@
 	}
 	g := &Gateway{
 		config: c, settings: c.Settings, dialect: c.Dialect, start: time.Now(), chain: &note.Chain{},
-		heartbeatNow: ring.NewQueue[struct{}](ring.Config{Capacity: 1}), peersAhead: ring.NewQueue[host.Member](ring.Config{Capacity: 1}), histograms: meter.NewHistograms(), logger: c.Logger,
+		heartbeatTrigger: ring.NewQueue[struct{}](ring.Config{Capacity: 1}), peersAhead: ring.NewQueue[host.Member](ring.Config{Capacity: 1}), histograms: meter.NewHistograms(), logger: c.Logger,
 		bodies: bodyBudget{limit: int64(c.Settings.Limits.HeldBytes)},
 	}
 	g.reloadable.Store(&g.settings)
@@ -169,7 +169,7 @@
 			Name: c.Settings.Host.Name, Listen: c.Settings.Host.Listen, Inner: c.Settings.Host.PeerAddress(),
 			Domain: c.Settings.Host.Domain, Region: c.Settings.Host.Region, Incarnation: g.incarnation,
 		},
-		Seeds: c.Settings.Peers.Seeds, DomainFanOut: heartbeatsPerDomain, Random: rand.New(rand.NewPCG(g.incarnation, 2)),
+		Seeds: c.Settings.Peers.Seeds, DomainFanOut: heartbeatPeersPerDomain, Random: rand.New(rand.NewPCG(g.incarnation, 2)),
 	})
 	g.heartbeats = &inner.Heartbeats{Table: g.members, Client: g.client, Now: g.now, NewRequest: func(n host.Gossip) *inner.HeartbeatRequest {
 		return inner.NewHeartbeatRequest(c.Settings.Host.Name, n)
@@ -278,7 +278,7 @@
 	ready := g.chain.Number() > 0 && !g.stopping.Load()
 	if ready != g.members.Self().Ready {
 		g.members.SetReady(ready)
-		g.heartbeatNow.Push(struct{}{})
+		g.heartbeatTrigger.Push(struct{}{})
 	}
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -180,7 +180,7 @@
 
 // runHeartbeats is the background task that sends heartbeats.
 func (g *Gateway) runHeartbeats(ctx context.Context) {
-	g.heartbeats.Run(ctx, g.heartbeatNow, g.sendHeartbeats)
+	g.heartbeats.Run(ctx, g.heartbeatTrigger, g.sendHeartbeats)
 }
 
 // sendHeartbeats sends one round of heartbeats and records what has changed since the last one.
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -27,7 +27,7 @@
 	g.stopping.Store(true)
 	g.members.SetReady(false)
 	g.members.Leave()
-	g.heartbeatNow.Push(struct{}{})
+	g.heartbeatTrigger.Push(struct{}{})
 	g.records.Add(record.Record{Kind: record.HostLeft, Cause: "GracefulStop", Note: g.chain.Number()})
 	limit := g.reloadable.Load().Limits.StopTimeout - stopMargin
 	drainTime := min(limit/2, addressAgeFactor*g.reloadable.Load().Limits.AddressMaxAge)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -220,7 +220,7 @@
 	}
 	g.records.Add(r)
 	g.members.SetStoreLost(lost)
-	g.heartbeatNow.Push(struct{}{})
+	g.heartbeatTrigger.Push(struct{}{})
 }
 
 // runLapseCheck is the background task that stops using targets whose entries expired during an outage of the store
--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -70,7 +70,7 @@
 }
 
 // neededHomes returns how many homes a service needs for a total rate in requests per second. It returns current, the
-// number asked for so far, unless more are needed or fewer suffice with a margin.
+// number needed so far, unless more are needed or fewer suffice with a margin.
 func neededHomes(total float64, current int) int {
 	scaleUpTo := int(math.Ceil(total / maxRatePerHome))
 	scaleDownTo := int(math.Ceil(total / (maxRatePerHome * scaleDownShare)))
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -96,7 +96,7 @@
 	s.release(r)
 }
 
-// release frees the slot or queue place of a run and starts queued runs.
+// release frees the slot of a run, or removes it from the queue, and starts queued runs.
 func (s *server) release(r *run) {
 	isSameRun := func(other *run) bool { return other == r }
 	s.queued = slices.DeleteFunc(s.queued, isSameRun)
