--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -49,7 +49,8 @@
 	maxRecords = 8192
 	// maxNoteHints is how many hints to newer notes may be queued; further ones are dropped.
 	maxNoteHints = 64
-	// heartbeatPeersPerDomain is how many peers of each failure domain a round of heartbeats goes to.
+	// heartbeatPeersPerDomain is how many peers of this host's failure domain receive each round of heartbeats. Of each
+	// other failure domain one peer does.
 	heartbeatPeersPerDomain = 2
 )
 
@@ -170,10 +171,10 @@
 		}
 		h.callerTLS = files.CallerTLS()
 	}
-	var closeBook, closeClient, closeSteering func()
-	h.records, closeBook = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
+	var closeRecords, closeClient, closeDispatcher func()
+	h.records, closeRecords = record.NewLog(record.LogConfig{Host: s.Host.Name, Incarnation: h.incarnation, Capacity: maxRecords, Logger: h.config.Logger})
 	h.client, closeClient = inner.NewClient(inner.ClientConfig{TLS: h.peerTLS, Dial: h.config.Dial})
-	h.dispatcher, closeSteering = steering.New(steering.Config{
+	h.dispatcher, closeDispatcher = steering.New(steering.Config{
 		Records: h.records, Quarantine: h.quarantine, Clock: h.now, Seed: h.incarnation, OnQuarantine: h.triggerHeartbeat, Dial: h.config.Dial,
 	})
 	h.archive = note.NewArchive(note.ArchiveConfig{Store: h.config.Store})
@@ -200,9 +201,9 @@
 	h.heartbeats = &inner.Heartbeats{Table: h.membership, Client: h.client, Now: h.now, NewRequest: h.heartbeatRequest, OnReply: h.handleHeartbeatReply}
 	h.callerServer = h.newCallerServer()
 	return func() {
-		closeSteering()
+		closeDispatcher()
 		closeClient()
-		closeBook()
+		closeRecords()
 	}, nil
 }
 
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -40,8 +40,8 @@
 // verdictQueueSize is the number of verdicts that may be queued for a host that reads slowly.
 const verdictQueueSize = 1024
 
-// homeServer places requests on behalf of other hosts and of this one. It does so for each service that it is asked
-// for: as the primary home, or as a fallback home while others cannot be reached.
+// homeServer places the requests that other hosts and this one send to it, of any service: as the service's primary
+// home, or as a fallback home while others cannot be reached.
 type homeServer struct {
 	gateway  *Gateway
 	mu       sync.Mutex
@@ -76,8 +76,8 @@
 	return &homeServer{gateway: g, services: map[string]*serviceHome{}, sessions: map[uint64]*session{}, requestArrived: ring.NewQueue[struct{}](ring.Config{Capacity: 1})}
 }
 
-// openSession registers a placement stream. Another host has its verdicts queued and is cut off with disconnect; for
-// this host deliverLocal is called with each verdict.
+// openSession registers a placement stream. Verdicts for another host are queued for its stream, which disconnect closes;
+// those for this host are passed to deliverLocal.
 func (s *homeServer) openSession(deliverLocal func(uint64, placement.Verdict), disconnect context.CancelFunc) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +179,7 @@
 	h.home.SetTargets(h.server.gateway.now(), targets)
 }
 
-// place asks the service's placement state for a target. Verdicts follow through sendVerdict.
+// place submits a request to the home of its service on this host. Verdicts follow through sendVerdict.
 func (s *homeServer) place(service string, r *placement.Request) {
 	h := s.serviceHome(service)
 	ranked := s.gateway.homeClient.rankedHomes(service)
@@ -226,7 +226,7 @@
 	h.home.CancelQueued(id)
 }
 
-// sendVerdict sends a verdict to the host that asked; its caller holds the lock of the service's placement state.
+// sendVerdict sends a verdict to the host that sent the request; its caller holds the lock of the service's placement state.
 func (s *homeServer) sendVerdict(r *placement.Request, v placement.Verdict) {
 	s.mu.Lock()
 	sess := s.sessions[r.ID.Stream]
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -26,7 +26,7 @@
 	sim   *simulation
 	name  string
 	index int
-	// pace is the factor by which noisy neighbours lengthen service times at present, at least 1.
+	// pace is the factor by which noisy neighbors lengthen service times at present, at least 1.
 	pace    float64
 	running []*run
 	queued  []*run
@@ -96,11 +96,11 @@
 	s.release(r)
 }
 
-// release frees the slot or queue place of a run and starts queued runs.
+// release frees the slot of a run, or removes it from the queue, and starts queued runs.
 func (s *server) release(r *run) {
-	isRun := func(other *run) bool { return other == r }
-	s.queued = slices.DeleteFunc(s.queued, isRun)
-	s.running = slices.DeleteFunc(s.running, isRun)
+	isSameRun := func(other *run) bool { return other == r }
+	s.queued = slices.DeleteFunc(s.queued, isSameRun)
+	s.running = slices.DeleteFunc(s.running, isSameRun)
 	for len(s.queued) > 0 && len(s.running) < s.sim.workload.Slots {
 		next := s.queued[0]
 		s.queued = s.queued[1:]
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -79,9 +79,9 @@
 
 var ampleBudget = RetryBudget{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
-// TestBindsLate submits more requests than there are slots: the last one is queued, and placed when the first slot
-// becomes free.
-func TestBindsLate(t *testing.T) {
+// TestQueuedRequestGetsFirstFreeSlot submits more requests than there are slots: the last one is queued, and placed when
+// the first slot becomes free.
+func TestQueuedRequestGetsFirstFreeSlot(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(2, ampleBudget)
 	for range 6 {
@@ -93,7 +93,7 @@
 	is.True(f.placedOn(waiting) != "")
 }
 
-// TestAvoidsNoisyTargets slows one of two targets down, as a noisy neighbour does: requests are placed on the other one,
+// TestAvoidsNoisyTargets slows one of two targets down, as a noisy neighbor does: requests are placed on the other one,
 // or queued for it while their goal allows.
 func TestAvoidsNoisyTargets(t *testing.T) {
 	is := is.New(t)
@@ -243,9 +243,9 @@
 	is.True(f.placedOn(f.submit(func(r *Request) { r.Fingerprint = 8 })) != "")
 }
 
-// TestLostAnswersFreeSlots loses the responses of all runs on a target: once the target reports that its slots are free,
-// the queued request is placed there.
-func TestLostAnswersFreeSlots(t *testing.T) {
+// TestLoadReportFreesSlotsOfLostResponses loses the responses of all runs on a target: once the target reports that its
+// slots are free, the queued request is placed there.
+func TestLoadReportFreesSlotsOfLostResponses(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(1, ampleBudget)
 	for range 3 {
@@ -302,8 +302,8 @@
 	}
 }
 
-// TestWarmingEnds repeats SetTargets with an unchanged target that is warming up: this must not prolong its warm-up.
-func TestWarmingEnds(t *testing.T) {
+// TestWarmUpEnds repeats SetTargets with an unchanged target that is warming up: this must not prolong its warm-up.
+func TestWarmUpEnds(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(1, ampleBudget)
 	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
@@ -340,7 +340,7 @@
 
 // TestRetryBudgetIsNeverExceeded spends extra attempts in random patterns: no sliding window has more of them than the
 // ratio and slack allow. The ratio applies to the requests of that window, of the window before it or of the one half a
-// window earlier, whichever has the most. The owners of the services count in the same way.
+// window earlier, whichever has the most. The owners of the services measure the limit in the same way.
 func TestRetryBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := RetryBudget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
