--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,8 @@
 // Package admission implements admission control for the requests of one service. A request is assigned to a target
-// only once package route picks one with a free slot; until then it waits in a bounded queue that classes share by
-// weight. Requests that cannot meet their deadline are refused at once rather than left to time out in the queue.
+// only once package route picks one that can take another request; until then it waits in a bounded queue that classes
+// share by weight. A target may get a few requests more than it has slots, so that no slot is idle while requests and
+// responses are on the network. Requests that cannot meet their deadline are refused at once rather than left to time
+// out in the queue.
 package admission
 
 import (
@@ -103,7 +105,8 @@
 // Queued returns the number of queued requests.
 func (c *Controller) Queued() int { return c.queue.size }
 
-// Overloaded reports whether a request has been refused for lack of capacity since the queue was last empty.
+// Overloaded reports whether a request has been refused, because its deadline could not be met or the queue was full,
+// since Dispatch last found the queue empty or emptied it.
 func (c *Controller) Overloaded() bool { return c.overloaded }
 
 // Submit assigns, queues or refuses a request. The decision is set when Submit returns.
@@ -174,7 +177,7 @@
 	}
 }
 
-// assign assigns the request to a target and reports whether the router found one with a free slot.
+// assign assigns the request to a target and reports whether the router found one that can take it now.
 func (c *Controller) assign(now time.Duration, r *Request) bool {
 	excluded := route.NoTarget
 	if r.ExcludedTarget != "" {
@@ -194,7 +197,7 @@
 	return true
 }
 
-// Finish ends an assigned request and assigns queued requests to the slots that became free.
+// Finish ends an assigned request and calls Dispatch, since its target can now take another one.
 // Latency is the time that the target took to respond.
 func (c *Controller) Finish(now time.Duration, a *Assignment, latency time.Duration, outcome route.Outcome) {
 	if i := c.router.Lookup(a.Target); i != route.NoTarget {
@@ -210,7 +213,8 @@
 	}
 }
 
-// Dispatch refuses queued requests whose deadline can no longer be met and assigns the others while slots are free.
+// Dispatch refuses the requests at the head of each class's queue whose deadline can no longer be met, and assigns the
+// others as long as the router finds targets that can take them.
 func (c *Controller) Dispatch(now time.Duration) {
 	c.refuseExpired(now)
 	for c.queue.size > 0 {
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -167,8 +167,8 @@
 func (p *idealQueue) tick(s *simulation) { p.dispatch(s) }
 func (p *idealQueue) probeCount() int    { return 0 }
 
-// lateBinding is briarcroft's policy: the homes of a service queue its requests, assign them when slots are free and
-// exchange in-flight counts.
+// lateBinding is briarcroft's policy: the homes of a service queue its requests, assign them when a target can take
+// another one and exchange in-flight counts.
 type lateBinding struct {
 	hosts            []*homeHost
 	exchangeInterval time.Duration
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -44,8 +44,9 @@
 
 var namespace = errorx.NewNamespace("command").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrFindings reports that a command ran but found hosts that differ or gave no records, or a broken chain. The command
-// has already written what it found, so Run does not print the message of this error.
+// ErrFindings reports that a command ran but found a broken chain of notes, hosts that do not have the newest note in
+// force, or hosts that gave no event records. The command has already written what it found, so Run does not print the
+// message of this error.
 var ErrFindings = namespace.NewType("disagrees")
 
 // ErrNotInForce reports that a note was accepted but was not in force on every given host within the timeout.
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -32,7 +32,8 @@
 	client, closeClient := operator.New(operator.Config{Hosts: c.Hosts, Timeout: c.Timeout})
 	defer closeClient()
 	if c.Why {
-		// The record of the target's state at the start of the period can be older than the period.
+		// The records of all times are requested: the one that tells the target's state at the start of the period can be
+		// older than the period.
 		return c.printTimeline(client.Explain(context.Background(), c.Target, time.Time{}), period)
 	}
 	e := client.Explain(context.Background(), c.Target, period.From)
@@ -71,8 +72,8 @@
 	return period, nil
 }
 
-// printTimeline prints the intervals in which the target was not eligible for requests and, for each host, the total
-// time for which it was.
+// printTimeline prints the intervals in which an entry host did not consider the target eligible for requests, and for
+// each entry host the total time for which it did.
 func (c *explainCommand) printTimeline(e operator.Explanation, period record.TimeRange) error {
 	timeline := record.Timeline(e.Records, c.Target, period)
 	if c.JSON {
--- a/internal/command/report.go
+++ b/internal/command/report.go
@@ -37,7 +37,8 @@
 	now := time.Now()
 	source := report.Source{
 		Made: now, Stretch: record.TimeRange{From: now.Add(-c.Since), To: now}, Verification: verification, Hosts: hosts,
-		// The record of a target's state at the start of the period can be older than the period.
+		// The records of all times are requested: the one that tells a target's state at the start of the period can be
+		// older than the period.
 		Explanation: client.Explain(ctx, "", time.Time{}),
 	}
 	if err := c.writeFile(source); err != nil {
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -162,7 +162,7 @@
 	return longest
 }
 
-// Hash returns the hexadecimal SHA-256 of the configuration.
+// Hash returns the hexadecimal SHA-256 of the JSON text of the configuration.
 func (c Configuration) Hash() string { return hash(c) }
 
 func hash(value any) string {
--- a/internal/note/record.go
+++ b/internal/note/record.go
@@ -27,7 +27,7 @@
 	Note  Note
 }
 
-// Hash returns the hexadecimal SHA-256 of the record.
+// Hash returns the hexadecimal SHA-256 of the JSON text of the record.
 func (r Record) Hash() string { return hash(r) }
 
 // Snapshot is a record with the configuration that it leads to, so that a host that starts need not read the whole chain.
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -50,7 +50,8 @@
 // process is the process of one entry host, with the host's addresses and relays.
 type process struct {
 	name string
-	// listen serves callers, ready the readiness check and directory the addresses of the entry hosts.
+	// listen is the address for callers' requests, ready that of the readiness check, and directory that at which callers
+	// get the addresses of the entry hosts.
 	listen, ready, directory string
 	// peerRelay forwards connections of peers to the host, and storeRelay those of the host to the store.
 	peerRelay, storeRelay *relay
