--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -181,7 +181,8 @@
 	})
 }
 
-// TestDecisionBound checks that admitting and finishing a request, picking a target and counting a request allocate nothing.
+// TestDecisionBound checks that admitting and finishing a request, picking a target and counting a request allocate
+// nothing.
 func TestDecisionBound(t *testing.T) {
 	is := is.New(t)
 	c, request := newDecisionFixture()
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -182,7 +182,8 @@
 // Do sends a request and retries it, up to maxAttempts attempts, until its outcome is known. Retries of an AtMostOnce
 // request use the same Idempotency-Key, since an earlier attempt may have run; only after a response that says that the
 // request did not run, or if the first attempt could not connect, they use a new one. If all attempts are used
-// up or ctx ends, Do returns the response or error of the last one. Errors are ErrNoAddress, ErrConnect or ErrIncompleteResponse.
+// up or ctx ends, Do returns the response or error of the last one. Errors are ErrNoAddress, ErrConnect or
+// ErrIncompleteResponse.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	var response Response
 	var keysUsed []string
--- a/internal/claim/quarantine.go
+++ b/internal/claim/quarantine.go
@@ -51,9 +51,10 @@
 	return &Quarantine{suspects: map[uint64]*suspect{}, quarantined: map[uint64]QuarantinedRequest{}, expires: map[uint64]time.Duration{}}
 }
 
-// RecordConnectionBreak records that a target broke its connection during an attempt that started at the given time, and
-// reports whether this break is the one for which the request is put in quarantine. An attempt that started before the request's last recorded break does
-// not count: targets that fail at the same time break the connections of many requests that are not at fault.
+// RecordConnectionBreak records that a target broke its connection during an attempt that started at the given time,
+// and reports whether this break is the one for which the request is put in quarantine. An attempt that started before
+// the request's last recorded break does not count: targets that fail at the same time break the connections of many
+// requests that are not at fault.
 func (q *Quarantine) RecordConnectionBreak(now, started time.Duration, fingerprint uint64, target string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -7,7 +7,7 @@
 // Parameters of a target's score, which is its expected time to a response.
 const (
 	// maxScoreRatio is by how many mean latencies of the service a target's score may exceed the expected wait in the
-	// queue. Beyond it the request is better queued until a faster target has a free slot.
+	// queue. Beyond it the request is better queued until a faster target can take it.
 	maxScoreRatio = 2.0
 	// loadWeight is the relative increase of the expected latency when all slots are in use, tieBreakWeight the maximum
 	// relative increase by the random part.
