--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// recordMembership adds records of the changes in the membership and of the homes that moved by them.
+// recordMembership adds records of the changes in the membership, and of the services whose home has changed because of
+// them.
 func (h *Host) recordMembership() {
 	for _, e := range h.membership.DrainEvents() {
 		h.records.Add(record.FromMembershipEvent(e, h.chain.Number()))
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -37,7 +37,7 @@
 	pending  *pendingRequest
 	// placer is the home that the request was last sent to for placement; it is nil before the first call of place.
 	placer placer
-	// tried names the targets that the request was sent to.
+	// tried names the targets that the request was placed on, including those that could not be reached.
 	tried []string
 	// mayHaveRun is set once a target may have begun to run the request.
 	mayHaveRun bool
