--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -45,7 +45,7 @@
 	o.simulation = newSimulation(c, newLateBinding(c, lateBindingConfig{homes: 1, overcommit: -1, reports: true}))
 	o.onJobEnd = o.jobEnded
 	o.after(0, o.generateOverload)
-	for len(o.agenda) > 0 && o.agenda[0].at <= o.length {
+	for len(o.pending) > 0 && o.pending[0].at <= o.length {
 		o.advance()
 	}
 	return o
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -122,7 +122,7 @@
 }
 
 func (c *Controller) enqueue(now time.Duration, r *Request) {
-	wait := c.predictWait(now, c.queue.aheadOf(r.Class, r.Weight))
+	wait := c.predictWait(now, c.queue.queuedAhead(r.Class, r.Weight))
 	if now+wait+c.router.MeanLatency() > r.Deadline {
 		c.overloaded = true
 		c.refuse(r, ReasonDeadlineCannotBeMet, wait)
@@ -214,7 +214,7 @@
 func (c *Controller) Dispatch(now time.Duration) {
 	c.refuseExpired(now)
 	for c.queue.size > 0 {
-		class := c.queue.next()
+		class := c.queue.nextClass()
 		r := class.head
 		if !c.assign(now, r) {
 			return
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -23,8 +23,8 @@
 )
 
 type namedPolicy struct {
-	name string
-	make func(c scenario) policy
+	name      string
+	newPolicy func(c scenario) policy
 }
 
 func newLateBindingPolicy(config lateBindingConfig) func(scenario) policy {
@@ -116,7 +116,7 @@
 			targets: d.targets, slots: d.slots, meanWork: d.meanWork, oneWayDelay: d.oneWayDelay, callerDelay: d.callerDelay, utilization: utilization, stepUtilization: stepUtilization,
 			noise: true, straggler: true, falseReporter: true, idempotent: d.idempotent, length: 12 * time.Second, seed: uint64(i + 1),
 		}
-		s := newSimulation(c, p.make(c))
+		s := newSimulation(c, p.newPolicy(c))
 		s.run()
 		merged.Merge(s.latency)
 		m.answered += s.answered
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -71,8 +71,8 @@
 	q.size--
 }
 
-// next returns the class to serve next, or nil if the queue is empty.
-func (q *queue) next() *classQueue {
+// nextClass returns the class to serve next, or nil if the queue is empty.
+func (q *queue) nextClass() *classQueue {
 	var best *classQueue
 	for _, c := range q.classes {
 		if c.size > 0 && (best == nil || c.virtualTime < best.virtualTime) {
@@ -99,8 +99,8 @@
 	return worst
 }
 
-// aheadOf estimates how many queued requests would be served before a new request of the class.
-func (q *queue) aheadOf(class Class, weight int) int {
+// queuedAhead estimates how many queued requests would be served before a new request of the class.
+func (q *queue) queuedAhead(class Class, weight int) int {
 	ownQueue := q.classQueue(class)
 	share := float64(ownQueue.size+1) / max(1, float64(weight))
 	sum := 0.0
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -96,15 +96,15 @@
 	run func()
 }
 
-type agenda []event
+type eventHeap []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventHeap) Len() int { return len(a) }
+func (a eventHeap) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -115,7 +115,7 @@
 type simulation struct {
 	scenario
 	now          time.Duration
-	agenda       agenda
+	pending      eventHeap
 	seq          int
 	random       *rand.Rand
 	targets      []*fakeTarget
@@ -149,7 +149,7 @@
 
 func (s *simulation) after(d time.Duration, run func()) {
 	s.seq++
-	heap.Push(&s.agenda, event{s.now + d, s.seq, run})
+	heap.Push(&s.pending, event{s.now + d, s.seq, run})
 }
 
 func (s *simulation) exponential(mean time.Duration) time.Duration {
@@ -174,14 +174,14 @@
 
 func (s *simulation) run() {
 	s.after(0, s.generate)
-	for len(s.agenda) > 0 && s.agenda[0].at <= s.length {
+	for len(s.pending) > 0 && s.pending[0].at <= s.length {
 		s.advance()
 	}
 }
 
 // advance sets the clock to the next event and runs it.
 func (s *simulation) advance() {
-	e := heap.Pop(&s.agenda).(event)
+	e := heap.Pop(&s.pending).(event)
 	s.now = e.at
 	e.run()
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -110,8 +110,8 @@
 	return idle
 }
 
-func closeAll(list []*connection) {
-	for _, c := range list {
+func closeAll(connections []*connection) {
+	for _, c := range connections {
 		// No data is lost on an idle connection, so an error makes no difference.
 		_ = c.Conn.Close()
 	}
@@ -233,8 +233,8 @@
 		p.open--
 		return nil, ErrNotSent.New("connecting to backend server %s failed (%v); trying the next target", p.config.Address, err)
 	}
-	if took := time.Since(start); p.minConnectTime == 0 || took < p.minConnectTime {
-		p.minConnectTime = took
+	if elapsed := time.Since(start); p.minConnectTime == 0 || elapsed < p.minConnectTime {
+		p.minConnectTime = elapsed
 	}
 	return &connection{Conn: conn}, nil
 }
@@ -300,12 +300,12 @@
 
 // idleTimeout returns how long a connection may be idle, which the Keep-Alive field of a response header can shorten.
 func idleTimeout(header http.Header) time.Duration {
-	_, text, found := strings.Cut(header.Get("Keep-Alive"), "timeout=")
+	_, value, found := strings.Cut(header.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return maxIdleTime
 	}
-	text, _, _ = strings.Cut(text, ",")
-	seconds, err := strconv.Atoi(strings.TrimSpace(text))
+	value, _, _ = strings.Cut(value, ",")
+	seconds, err := strconv.Atoi(strings.TrimSpace(value))
 	if err != nil {
 		return maxIdleTime
 	}
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -24,9 +24,9 @@
 		r, _ := http.NewRequest(http.MethodGet, server.URL, nil)
 		response, err := pool.Do(r, Options{})
 		is.NoErr(err)
-		text, err := io.ReadAll(response.Body)
+		body, err := io.ReadAll(response.Body)
 		is.NoErr(err)
-		is.Equal(string(text), "complete")
+		is.Equal(string(body), "complete")
 		is.NoErr(response.Body.Close())
 	}
 	is.Equal(pool.Usage(), Usage{Open: 1, Idle: 1})
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -62,14 +62,14 @@
 	transport *http.Transport
 	mu        sync.Mutex
 	random    *rand.Rand
-	// answersByService holds the newest address answer for each service.
-	answersByService map[string]cachedAnswer
-	// answersByHost holds the newest address answer of each entry host that requests were sent to. Only its grant is used.
-	answersByHost map[string]cachedAnswer
+	// addressesByService holds the newest address answer for each service.
+	addressesByService map[string]cachedAddresses
+	// addressesByHost holds the newest address answer of each entry host that requests were sent to. Only its grant is used.
+	addressesByHost map[string]cachedAddresses
 }
 
-// cachedAnswer is an address answer with the time at which it expires.
-type cachedAnswer struct {
+// cachedAddresses is an address answer with the time at which it expires.
+type cachedAddresses struct {
 	address.Response
 	expiresAt time.Time
 }
@@ -77,7 +77,7 @@
 // New returns a client and a function that closes its idle connections.
 func New(c Config) (*Client, func()) {
 	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true, DialContext: c.Dial}
-	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), answersByService: map[string]cachedAnswer{}, answersByHost: map[string]cachedAnswer{}}
+	client := &Client{config: c, transport: t, random: rand.New(rand.NewPCG(c.Seed, 3)), addressesByService: map[string]cachedAddresses{}, addressesByHost: map[string]cachedAddresses{}}
 	return client, t.CloseIdleConnections
 }
 
@@ -108,22 +108,22 @@
 // returns the expired ones. Errors are ErrNoAddress.
 func (c *Client) Addresses(ctx context.Context, service string) (address.Response, error) {
 	c.mu.Lock()
-	cached, found := c.answersByService[service]
+	cached, found := c.addressesByService[service]
 	c.mu.Unlock()
 	if found && time.Now().Before(cached.expiresAt) {
 		return cached.Response, nil
 	}
 	var lastErr error
-	for _, host := range c.hostsToAsk(cached.Response) {
-		answer, err := c.FetchAddresses(ctx, host, service)
+	for _, host := range c.hostsToQuery(cached.Response) {
+		response, err := c.FetchAddresses(ctx, host, service)
 		if err != nil {
 			lastErr = err
 			continue
 		}
 		c.mu.Lock()
-		c.answersByService[service] = cachedAnswer{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
+		c.addressesByService[service] = cachedAddresses{response, time.Now().Add(time.Duration(response.MaxAge) * time.Second)}
 		c.mu.Unlock()
-		return answer, nil
+		return response, nil
 	}
 	if found {
 		return cached.Response, nil
@@ -131,16 +131,16 @@
 	return address.Response{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
-// hostsToAsk returns the hosts of the last answer, followed by all seeds in their order, starting at a random one.
-func (c *Client) hostsToAsk(last address.Response) []string {
-	var list []string
+// hostsToQuery returns the hosts of the last address answer, followed by all seeds in their order, starting at a random one.
+func (c *Client) hostsToQuery(last address.Response) []string {
+	var hosts []string
 	for _, a := range last.Addresses {
-		list = append(list, a.Address)
+		hosts = append(hosts, a.Address)
 	}
 	c.mu.Lock()
 	offset := c.random.IntN(max(1, len(c.config.Seeds)))
 	c.mu.Unlock()
-	return append(append(list, c.config.Seeds[offset:]...), c.config.Seeds[:offset]...)
+	return append(append(hosts, c.config.Seeds[offset:]...), c.config.Seeds[:offset]...)
 }
 
 // FetchAddresses requests the entry hosts for a service from one entry host, past the cache. Errors are ErrNoAddress.
@@ -167,14 +167,14 @@
 	return answer, nil
 }
 
-// expireAnswers makes the next attempt request new addresses for a service, and new grants.
-func (c *Client) expireAnswers(service string) {
+// expireAddresses makes the next attempt request new addresses for a service, and new grants.
+func (c *Client) expireAddresses(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.answersByHost)
-	if cached, found := c.answersByService[service]; found {
+	clear(c.addressesByHost)
+	if cached, found := c.addressesByService[service]; found {
 		cached.expiresAt = time.Time{}
-		c.answersByService[service] = cached
+		c.addressesByService[service] = cached
 	}
 }
 
@@ -201,7 +201,7 @@
 			return response, nil
 		}
 		if err != nil || response.Status == http.StatusServiceUnavailable {
-			c.expireAnswers(r.Service)
+			c.expireAddresses(r.Service)
 		}
 		if err == nil && response.Outcome == claim.NotRun || attempt == 1 && errorx.IsOfType(err, ErrConnect) {
 			key = ""
@@ -229,15 +229,15 @@
 // chooseHost returns the address of the entry host for an attempt, and the Idempotency-Key: the given one or, if that is
 // empty and the request is AtMostOnce, a new one. Attempts go through the listed hosts in turn.
 func (c *Client) chooseHost(ctx context.Context, r Request, key string, attempt int) (string, string, error) {
-	answer, err := c.Addresses(ctx, r.Service)
+	addresses, err := c.Addresses(ctx, r.Service)
 	if err != nil {
 		return "", "", err
 	}
-	host := answer.Addresses[(attempt-1)%len(answer.Addresses)].Address
+	host := addresses.Addresses[(attempt-1)%len(addresses.Addresses)].Address
 	if !r.AtMostOnce || key != "" {
 		return host, key, nil
 	}
-	return host, fmt.Sprintf("%s.%s", c.grantFrom(ctx, host, r.Service, answer.Grant), c.newKeySuffix()), nil
+	return host, fmt.Sprintf("%s.%s", c.grantFrom(ctx, host, r.Service, addresses.Grant), c.newKeySuffix()), nil
 }
 
 // grantFrom returns a grant, the first part of an Idempotency-Key, that was issued by the host to which the request is
@@ -245,19 +245,19 @@
 // grantFrom returns the fallback. Grants are cached for the MaxAge of the address answer that they come with.
 func (c *Client) grantFrom(ctx context.Context, host, service, fallback string) string {
 	c.mu.Lock()
-	cached := c.answersByHost[host]
+	cached := c.addressesByHost[host]
 	c.mu.Unlock()
 	if time.Now().Before(cached.expiresAt) {
 		return cached.Grant
 	}
-	answer, err := c.FetchAddresses(ctx, host, service)
+	addresses, err := c.FetchAddresses(ctx, host, service)
 	if err != nil {
 		return fallback
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answersByHost[host] = cachedAnswer{answer, time.Now().Add(time.Duration(answer.MaxAge) * time.Second)}
-	return answer.Grant
+	c.addressesByHost[host] = cachedAddresses{addresses, time.Now().Add(time.Duration(addresses.MaxAge) * time.Second)}
+	return addresses.Grant
 }
 
 // newKeySuffix returns a random second part for an Idempotency-Key.
--- a/internal/certificate/files.go
+++ b/internal/certificate/files.go
@@ -67,12 +67,12 @@
 	}
 	var roots *x509.CertPool
 	if f.config.Authority != "" {
-		text, err := os.ReadFile(f.config.Authority)
+		authorityPEM, err := os.ReadFile(f.config.Authority)
 		if err != nil {
 			return ErrFile.New("%s: %v; give a readable PEM file", f.config.Authority, err)
 		}
 		roots = x509.NewCertPool()
-		if !roots.AppendCertsFromPEM(text) {
+		if !roots.AppendCertsFromPEM(authorityPEM) {
 			return ErrFile.New("%s holds no PEM certificate; give the file of the authority's certificate", f.config.Authority)
 		}
 	}
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -63,17 +63,17 @@
 }
 
 // ParseKey parses the value of an Idempotency-Key header; errors are of type ErrInvalidKey.
-func ParseKey(text string) (Key, error) {
-	if len(text) == 0 || len(text) > maxKeyBytes {
-		return Key{}, ErrInvalidKey.New("Idempotency-Key has %d characters; use 1 to %d", len(text), maxKeyBytes)
+func ParseKey(value string) (Key, error) {
+	if len(value) == 0 || len(value) > maxKeyBytes {
+		return Key{}, ErrInvalidKey.New("Idempotency-Key has %d characters; use 1 to %d", len(value), maxKeyBytes)
 	}
-	if strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) {
+	if strings.ContainsFunc(value, func(r rune) bool { return r <= ' ' || r > '~' }) {
 		return Key{}, ErrInvalidKey.New("Idempotency-Key contains a space or a non-printable character; use visible ASCII characters")
 	}
-	if !strings.HasPrefix(text, grantPrefix+".") {
-		return Key{Suffix: text, Plain: true}, nil
+	if !strings.HasPrefix(value, grantPrefix+".") {
+		return Key{Suffix: value, Plain: true}, nil
 	}
-	parts := strings.SplitN(text, ".", 5)
+	parts := strings.SplitN(value, ".", 5)
 	if len(parts) < 5 || parts[1] == "" || parts[4] == "" {
 		return Key{}, ErrInvalidKey.New("Idempotency-Key begins like a grant but is not of the form GRANT.SUFFIX; append a dot and a unique suffix to the Grant of the address response")
 	}
--- a/internal/claim/quarantine.go
+++ b/internal/claim/quarantine.go
@@ -129,12 +129,12 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.sweep(now)
-	var list []QuarantinedRequest
+	var requests []QuarantinedRequest
 	for fingerprint, r := range q.quarantined {
 		r.Remaining = q.expires[fingerprint] - now
-		list = append(list, r)
+		requests = append(requests, r)
 	}
-	return list
+	return requests
 }
 
 // sweep removes quarantined requests and suspects whose time has passed.
--- a/internal/claim/sealed.go
+++ b/internal/claim/sealed.go
@@ -34,7 +34,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
-	list := make([]SealedEntry, 0, len(t.entries))
+	entries := make([]SealedEntry, 0, len(t.entries))
 	for key, e := range t.entries {
 		s := SealedEntry{Key: key, Fingerprint: e.fingerprint}
 		switch e.state {
@@ -47,9 +47,9 @@
 		case running, responseLost:
 			s.Outcome = Unknown
 		}
-		list = append(list, s)
+		entries = append(entries, s)
 	}
-	return ExportedTable{t.config.Host, t.config.Incarnation, now, t.config.GrantWindow + t.config.MaxRunTime, list}
+	return ExportedTable{t.config.Host, t.config.Incarnation, now, t.config.GrantWindow + t.config.MaxRunTime, entries}
 }
 
 // incarnation identifies one incarnation of an entry host.
@@ -118,11 +118,11 @@
 	if !found {
 		return nil, false
 	}
-	e, known := t.entries[k.String()]
+	e, hasEntry := t.entries[k.String()]
 	switch {
-	case !known && k.Grant.Issued <= t.oldestGrant:
+	case !hasEntry && k.Grant.Issued <= t.oldestGrant:
 		return Refusal{Unknown, ReasonKeyTooOld, 0}, true
-	case !known:
+	case !hasEntry:
 		return Refusal{NotRun, ReasonHostLeaving, 0}, true
 	case e.Fingerprint != fingerprint:
 		return Refusal{NotRun, ReasonKeyReused, 0}, true
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -91,7 +91,7 @@
 	if k.Grant.Host != t.config.Host || k.Grant.Incarnation != t.config.Incarnation {
 		return Refusal{Unknown, ReasonOtherIncarnation, 0}
 	}
-	if e, known := t.entries[k.String()]; known {
+	if e, found := t.entries[k.String()]; found {
 		return e.decision(fingerprint)
 	}
 	age := milliseconds(now) - k.Grant.Issued
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -45,9 +45,9 @@
 
 // readNote reads and parses a release note; errors are settings.ErrFile or those of note.Parse.
 func readNote(file string) (note.Note, error) {
-	text, err := os.ReadFile(file)
+	content, err := os.ReadFile(file)
 	if err != nil {
 		return note.Note{}, settings.ErrFile.New("%v; name a readable INI file", err)
 	}
-	return note.Parse(file, text)
+	return note.Parse(file, content)
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -53,13 +53,13 @@
 		return period, &flags.Error{Type: flags.ErrRequired, Message: "--why needs --target"}
 	}
 	for _, option := range []struct {
-		name, text string
-		at         *time.Time
+		name, value string
+		at          *time.Time
 	}{{"--from", c.From, &period.From}, {"--to", c.To, &period.To}} {
-		if option.text == "" {
+		if option.value == "" {
 			continue
 		}
-		at, err := time.Parse(time.RFC3339, option.text)
+		at, err := time.Parse(time.RFC3339, option.value)
 		if err != nil {
 			return period, &flags.Error{Type: flags.ErrMarshal, Message: option.name + " is not a time; write it as 2006-01-02T15:04:05Z"}
 		}
@@ -110,38 +110,38 @@
 
 // formatRecord returns an event record as one line of text.
 func formatRecord(r record.Record) string {
-	text := fmt.Sprintf("%s %s note %d: %s", r.Time.Format(timeFormat), r.Host, r.Note, r.Kind)
+	line := fmt.Sprintf("%s %s note %d: %s", r.Time.Format(timeFormat), r.Host, r.Note, r.Kind)
 	if r.Service != "" {
-		text += " service " + r.Service
+		line += " service " + r.Service
 	}
 	if r.Target != "" {
-		text += " target " + r.Target
+		line += " target " + r.Target
 	}
 	if r.From != "" || r.To != "" {
-		text += fmt.Sprintf(" from %q to %q", r.From, r.To)
+		line += fmt.Sprintf(" from %q to %q", r.From, r.To)
 	}
 	if r.Cause != "" {
-		text += ", cause " + r.Cause
+		line += ", cause " + r.Cause
 	}
-	return text + formatEvidence(r.Evidence)
+	return line + formatEvidence(r.Evidence)
 }
 
 // formatEvidence returns the evidence of a record as text to append to its line.
 func formatEvidence(e record.Evidence) string {
-	text := ""
+	suffix := ""
 	if e.Failures > 0 {
-		text += fmt.Sprintf(", %d failures in a row", e.Failures)
+		suffix += fmt.Sprintf(", %d failures in a row", e.Failures)
 	}
 	if e.Latency > 0 {
-		text += fmt.Sprintf(", latency %v against %v usual", e.Latency.Round(10*time.Microsecond), e.Usual.Round(10*time.Microsecond))
+		suffix += fmt.Sprintf(", latency %v against %v usual", e.Latency.Round(10*time.Microsecond), e.Usual.Round(10*time.Microsecond))
 	}
 	if e.Queued > 0 {
-		text += fmt.Sprintf(", %d queued", e.Queued)
+		suffix += fmt.Sprintf(", %d queued", e.Queued)
 	}
 	for _, detail := range []string{e.Peer, e.Hash, e.Detail} {
 		if detail != "" {
-			text += ", " + detail
+			suffix += ", " + detail
 		}
 	}
-	return text
+	return suffix
 }
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -59,9 +59,9 @@
 }
 
 // writeFile writes a file to the deployment's directory and returns its path.
-func (d *deployment) writeFile(name, text string) string {
+func (d *deployment) writeFile(name, content string) string {
 	path := filepath.Join(d.dir, name)
-	d.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
+	d.is.NoErr(os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
@@ -89,25 +89,25 @@
 // startHost starts an entry host, whose addresses it reads from its log, and returns the host's address for peers. The
 // seed is the address for peers of a host that runs already, or empty.
 func (d *deployment) startHost(t *testing.T, number int, seed string) string {
-	text := fmt.Sprintf("[Host]\nName = entry-%d\nDomain = d%d\nListen = 127.0.0.1:0\nInner = 127.0.0.1:0\n[Platform]\nStore = %s\nHostList = %s/Hosts\n[Peers]\nSeeds = %s\n[Limits]\nAddressMaxAge = 1s\n",
+	content := fmt.Sprintf("[Host]\nName = entry-%d\nDomain = d%d\nListen = 127.0.0.1:0\nInner = 127.0.0.1:0\n[Platform]\nStore = %s\nHostList = %s/Hosts\n[Peers]\nSeeds = %s\n[Limits]\nAddressMaxAge = 1s\n",
 		number, number, d.store, d.store, seed)
-	c := d.newCommand("serve", "--config", d.writeFile(fmt.Sprintf("entry-%d.ini", number), text))
+	c := d.newCommand("serve", "--config", d.writeFile(fmt.Sprintf("entry-%d.ini", number), content))
 	log, err := c.StderrPipe()
 	d.is.NoErr(err)
 	d.is.NoErr(c.Start())
 	t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
 	host := &process{c, bufio.NewScanner(log)}
 	for host.logLines.Scan() {
-		var line struct{ Message, Listen, Inner string }
-		d.is.NoErr(json.Unmarshal(host.logLines.Bytes(), &line)) // every log line is JSON
-		if line.Message == "entry host started" {
+		var entry struct{ Message, Listen, Inner string }
+		d.is.NoErr(json.Unmarshal(host.logLines.Bytes(), &entry)) // every log line is JSON
+		if entry.Message == "entry host started" {
 			go func() {
 				for host.logLines.Scan() {
 					// Unread output would fill the pipe and block the host.
 				}
 			}()
-			d.hosts, d.listenAddresses = append(d.hosts, host), append(d.listenAddresses, line.Listen)
-			return line.Inner
+			d.hosts, d.listenAddresses = append(d.hosts, host), append(d.listenAddresses, entry.Listen)
+			return entry.Inner
 		}
 	}
 	t.Fatal("the entry host ended without logging that it had started")
@@ -230,9 +230,9 @@
 	page := filepath.Join(d.dir, "report.html")
 	code, _ = d.run(append([]string{"report", "--store", d.store, "--out", page}, hosts...)...)
 	d.is.Equal(code, ExitSuccess)
-	text, err := os.ReadFile(page)
+	html, err := os.ReadFile(page)
 	d.is.NoErr(err)
-	d.is.Equal(strings.Count(string(text), ">agrees<"), 3)
+	d.is.Equal(strings.Count(string(html), ">agrees<"), 3)
 	code, _ = d.run(append([]string{"report", "--store", d.store, "--out", page}, hosts...)...)
 	d.is.Equal(code, ExitFailed) // an existing file is not overwritten
 	code, _ = d.run(append([]string{"verify", "--store", d.store, "--host", "127.0.0.1:1"}, hosts...)...)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -189,9 +189,9 @@
 		}
 		s.Peers.Seeds = seeds
 		s.Limits.AddressMaxAge = time.Second
-		list, closeList := platform.NewHostList(platform.HostListConfig{URL: f.storeURL + "/Hosts", Timeout: time.Second})
+		hostList, closeList := platform.NewHostList(platform.HostListConfig{URL: f.storeURL + "/Hosts", Timeout: time.Second})
 		store, closeStore := platform.NewEtcd(platform.EtcdConfig{URL: f.storeURL, Timeout: time.Second})
-		h, closeHost, err := entry.New(entry.Config{Settings: s, Logger: f.config.Logger.With().Str("Host", s.Host.Name).Logger(), Store: store, HostList: list})
+		h, closeHost, err := entry.New(entry.Config{Settings: s, Logger: f.config.Logger.With().Str("Host", s.Host.Name).Logger(), Store: store, HostList: hostList})
 		if err != nil {
 			return err
 		}
@@ -250,8 +250,8 @@
 	}
 	workload := f.config.Deployment.Workloads[0]
 	withdrawn := TargetName(workload.Service, workload.Targets-1)
-	text := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", withdrawn, withdrawn)
-	n, err := note.Parse("second note", []byte(text))
+	content := fmt.Sprintf("[Note]\nFollows = 1\nOperator = demo\nReason = withdraw %s\n\n[Withdraw]\nTargets = %s\n", withdrawn, withdrawn)
+	n, err := note.Parse("second note", []byte(content))
 	if err != nil {
 		return err
 	}
@@ -275,15 +275,15 @@
 // stopHost gracefully stops the first home of the first service, which has the highest request rate. A home is an entry
 // host that places the requests of a service.
 func (f *fleet) stopHost(ctx context.Context, res *results) error {
-	answer, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
+	addresses, err := f.callers[0].Addresses(ctx, f.config.Deployment.Workloads[0].Service)
 	if err != nil {
 		return err
 	}
 	for i, r := range f.hosts {
-		if r.host.Name() != answer.Addresses[0].Host {
+		if r.host.Name() != addresses.Addresses[0].Host {
 			continue
 		}
-		fmt.Fprintf(f.config.Out, "stopping %s, home of %s, gracefully\n", r.host.Name(), answer.Service)
+		fmt.Fprintf(f.config.Out, "stopping %s, home of %s, gracefully\n", r.host.Name(), addresses.Service)
 		started := time.Now()
 		r.stop()
 		err := <-r.done
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -23,7 +23,7 @@
 }
 
 // Parse parses INI text; file is the name used in errors, which are ErrSyntax or ErrField.
-func Parse(file string, text []byte) (*Document, error) {
+func Parse(file string, content []byte) (*Document, error) {
 	options := ini.LoadOptions{
 		AllowShadows:               true,
 		AllowDuplicateShadowValues: true,
@@ -32,12 +32,12 @@
 		IgnoreContinuation:         true,
 		ChildSectionDelimiter:      "\x00",
 	}
-	parsed, err := ini.LoadSources(options, text)
+	parsed, err := ini.LoadSources(options, content)
 	if err != nil {
 		return nil, ErrSyntax.New("%s: %v; write Key = Value lines under [Section] headers", file, err)
 	}
 	d := &Document{file: file, ini: parsed}
-	scanner := bufio.NewScanner(bytes.NewReader(text))
+	scanner := bufio.NewScanner(bytes.NewReader(content))
 	for scanner.Scan() {
 		d.lines = append(d.lines, strings.TrimSpace(scanner.Text()))
 	}
@@ -206,24 +206,24 @@
 }
 
 func parseInts(value reflect.Value, text string) string {
-	var list []int
+	var values []int
 	for _, part := range splitList(text) {
 		n, err := strconv.Atoi(part)
 		if err != nil || n < 0 {
 			return "write whole numbers separated by commas"
 		}
-		list = append(list, n)
+		values = append(values, n)
 	}
-	value.Set(reflect.ValueOf(list))
+	value.Set(reflect.ValueOf(values))
 	return ""
 }
 
 func splitList(text string) []string {
-	var list []string
+	var items []string
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
-			list = append(list, part)
+			items = append(items, part)
 		}
 	}
-	return list
+	return items
 }
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -38,21 +38,21 @@
 		f.writeRefusal(w, &steering.Refusal{Status: http.StatusServiceUnavailable, Outcome: claim.NotRun, Reason: "HostWasPaused", RetryAfter: time.Second})
 		return
 	}
-	answer := address.Response{
+	response := address.Response{
 		Service: name, MaxAge: int(h.settings.Limits.AddressMaxAge / time.Second), Note: h.NoteNumber(),
 		Grant: h.idempotency.IssueGrant(now).String(), GrantHost: h.Name(),
 	}
 	live := h.membership.Live(now)
 	if len(live) == 0 || h.membership.Isolated(now) {
-		answer.MaxAge = isolatedMaxAge
+		response.MaxAge = isolatedMaxAge
 	}
 	for _, m := range host.Homes(name, host.HomeCount(name, service.Homes, live), domain, h.settings.Host.Region, live) {
-		answer.Addresses = append(answer.Addresses, toAddress(m))
+		response.Addresses = append(response.Addresses, toAddress(m))
 	}
-	if len(answer.Addresses) == 0 {
-		answer.Addresses = append(answer.Addresses, toAddress(h.membership.Self()))
+	if len(response.Addresses) == 0 {
+		response.Addresses = append(response.Addresses, toAddress(h.membership.Self()))
 	}
-	page.WriteJSON(w, http.StatusOK, answer)
+	page.WriteJSON(w, http.StatusOK, response)
 }
 
 func toAddress(m host.Member) address.Address {
--- a/internal/entry/chain_test.go
+++ b/internal/entry/chain_test.go
@@ -27,11 +27,11 @@
 	withFleet(t, func(f *fleet) {
 		host := f.start("entry-1", "a")
 		var attempts [chainLayers]atomic.Int64
-		var text strings.Builder
-		text.WriteString("[Note]\nFollows = 0\nOperator = test\nReason = chain\n")
+		var content strings.Builder
+		content.WriteString("[Note]\nFollows = 0\nOperator = test\nReason = chain\n")
 		client := &http.Transport{DialContext: f.net.Dialer("layers"), MaxIdleConnsPerHost: 64}
 		for layer := range chainLayers {
-			fmt.Fprintf(&text, "[Service s%d]\n[Rule r%d]\nPath = /%d/\nService = s%d\nDeadline = 5s\n", layer, layer, layer, layer)
+			fmt.Fprintf(&content, "[Service s%d]\n[Rule r%d]\nPath = /%d/\nService = s%d\nDeadline = 5s\n", layer, layer, layer, layer)
 			for i := range chainTargets {
 				address := f.serve(fmt.Sprintf("layer-%d-%d", layer, i), "", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					attempts[layer].Add(1)
@@ -41,10 +41,10 @@
 					}
 					callNextLayer(f, w, r, client, host, layer+1)
 				}))
-				fmt.Fprintf(&text, "[Target t%d-%d]\nService = s%d\nAddress = %s\nDomain = a\n", layer, i, layer, address)
+				fmt.Fprintf(&content, "[Target t%d-%d]\nService = s%d\nAddress = %s\nDomain = a\n", layer, i, layer, address)
 			}
 		}
-		f.publish(text.String())
+		f.publish(content.String())
 		f.awaitNote(1, 5*time.Second)
 		var group sync.WaitGroup
 		for range chainRequests {
--- a/internal/entry/counts.go
+++ b/internal/entry/counts.go
@@ -148,7 +148,7 @@
 func (h *Host) otherHomes() []host.Member {
 	live := h.membership.Live(h.now())
 	seen := map[string]bool{h.Name(): true}
-	var list []host.Member
+	var peers []host.Member
 	for _, s := range h.dispatcher.Configuration().Services {
 		homes := host.HomeCount(s.Name, s.Homes, live)
 		if homes < 2 {
@@ -157,11 +157,11 @@
 		for _, m := range host.RegionHomes(s.Name, homes, h.settings.Host.Region, live) {
 			if !seen[m.Name] {
 				seen[m.Name] = true
-				list = append(list, m)
+				peers = append(peers, m)
 			}
 		}
 	}
-	return list
+	return peers
 }
 
 // handleCounts stores the counts that a peer pushed and gives each service the new totals of all peers.
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -111,8 +111,8 @@
 	}
 	leaving := map[string]bool{}
 	for {
-		if list, err := h.config.HostList.Read(ctx); err == nil {
-			leaving = h.applyHostList(list, leaving)
+		if hosts, err := h.config.HostList.Read(ctx); err == nil {
+			leaving = h.applyHostList(hosts, leaving)
 		}
 		if !duty.Sleep(ctx, hostListInterval) {
 			return
--- a/internal/entry/explain_test.go
+++ b/internal/entry/explain_test.go
@@ -14,7 +14,7 @@
 // TestRecordsRebuildEligibility checks that event records alone show which targets were eligible at any time, while one
 // target is ejected and another one removed by a note.
 func TestRecordsRebuildEligibility(t *testing.T) {
-	behave := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	handler := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		if b.name == "target-2" && r.URL.Path == "/bad" {
 			panic(http.ErrAbortHandler)
 		}
@@ -24,7 +24,7 @@
 		at    time.Time
 		names []string
 	}
-	withFleetServing(t, 2, 5, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 2, 5, handler, func(f *fleet, _ []*fakeBackend) {
 		h := f.nodes["entry-1"].host
 		var observations []observation
 		observe := func() {
@@ -70,16 +70,16 @@
 	for i := range 13 {
 		members = append(members, host.Member{Name: fmt.Sprintf("entry-%d", i+1), Domain: []string{"a", "b", "c"}[i%3]})
 	}
-	moved := 0
+	homeMoves := 0
 	for i := range services {
 		name := fmt.Sprintf("service-%d", i)
 		before := host.Homes(name, 1, "a", "", members[:12])[0].Name
 		if host.Homes(name, 1, "a", "", members)[0].Name != before {
-			moved++
+			homeMoves++
 		}
 	}
-	share := float64(moved) / services * 13
-	t.Logf("a thirteenth host became home to %d of %d services, %.2f times its share", moved, services, share)
+	share := float64(homeMoves) / services * 13
+	t.Logf("a thirteenth host became home to %d of %d services, %.2f times its share", homeMoves, services, share)
 	if share > 1.3 {
 		t.Errorf("a joining host became home to %.2f times its share of services, want at most 1.3", share)
 	}
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -17,11 +17,11 @@
 
 // withFleetServing runs a test on a fleet with entry hosts and backend servers, once its first note is in force on all
 // hosts.
-func withFleetServing(t *testing.T, hosts, targets int, behave func(*fakeBackend, http.ResponseWriter, *http.Request, string), run func(f *fleet, backends []*fakeBackend)) {
+func withFleetServing(t *testing.T, hosts, targets int, handler func(*fakeBackend, http.ResponseWriter, *http.Request, string), run func(f *fleet, backends []*fakeBackend)) {
 	withFleet(t, func(f *fleet) {
 		f.startAll(hosts)
-		backends, text := f.backends(targets, behave)
-		f.publish(text)
+		backends, content := f.backends(targets, handler)
+		f.publish(content)
 		f.awaitNote(1, 10*time.Second)
 		if hosts <= 64 {
 			f.awaitPeers(10 * time.Second)
@@ -107,7 +107,7 @@
 // truncatingDocument returns a handler of backend servers that sends a large document. The connection of the first
 // response breaks in the middle of the body; later requests may resume it by Range and If-Range.
 func truncatingDocument(etag string) func(*fakeBackend, http.ResponseWriter, *http.Request, string) {
-	text := strings.Repeat("0123456789abcdef", documentBytes/16)
+	content := strings.Repeat("0123456789abcdef", documentBytes/16)
 	var once sync.Once
 	return func(b *fakeBackend, w http.ResponseWriter, r *http.Request, _ string) {
 		b.recordRun(r)
@@ -125,11 +125,11 @@
 		truncate := false
 		once.Do(func() { truncate = true })
 		if truncate {
-			_, _ = w.Write([]byte(text[:documentBytes/2]))
+			_, _ = w.Write([]byte(content[:documentBytes/2]))
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = w.Write([]byte(text[start:]))
+		_, _ = w.Write([]byte(content[start:]))
 	}
 }
 
@@ -138,7 +138,7 @@
 func TestTruncatedResponses(t *testing.T) {
 	cases := []struct {
 		name, etag string
-		whole      bool
+		complete   bool
 	}{
 		{"resumed by a strong ETag", `"v1"`, true},
 		{"aborted with a weak ETag", `W/"v1"`, false},
@@ -147,8 +147,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			withFleetServing(t, 1, 2, truncatingDocument(c.etag), func(f *fleet, _ []*fakeBackend) {
 				_, body, err := f.send(f.nodes["entry-1"], http.MethodGet, "/scan", "", nil)
-				f.is.Equal(err == nil, c.whole)
-				if c.whole {
+				f.is.Equal(err == nil, c.complete)
+				if c.complete {
 					f.is.Equal(body, strings.Repeat("0123456789abcdef", documentBytes/16))
 				}
 			})
@@ -160,7 +160,7 @@
 // by which it can announce that it is leaving.
 func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	var signals sync.Map
-	behave := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	handler := func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		switch signal, _ := signals.Load(b.name); signal {
 		case "report":
 			w.Header().Set(steering.HeaderDraining, "true")
@@ -173,8 +173,8 @@
 		echo(b, w, r, body)
 	}
 	cases := []struct {
-		name     string
-		announce func(f *fleet, b *fakeBackend)
+		name          string
+		signalLeaving func(f *fleet, b *fakeBackend)
 	}{
 		{"note", func(f *fleet, b *fakeBackend) {
 			f.publish("[Note]\nFollows = 1\nOperator = test\nReason = withdraw\n[Withdraw]\nTargets = " + b.name + "\n")
@@ -187,7 +187,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withFleetServing(t, 3, 4, behave, func(f *fleet, backends []*fakeBackend) {
+			withFleetServing(t, 3, 4, handler, func(f *fleet, backends []*fakeBackend) {
 				defer signals.Clear()
 				leaving := backends[0]
 				ctx, cancel := context.WithCancel(context.Background())
@@ -201,7 +201,7 @@
 					})
 				}
 				time.Sleep(time.Second)
-				c.announce(f, leaving)
+				c.signalLeaving(f, leaving)
 				time.Sleep(2 * time.Second)
 				before := leaving.totalRuns()
 				time.Sleep(10 * time.Second)
@@ -230,10 +230,10 @@
 					if i%2 == 0 {
 						r.Method, r.AtMostOnce = http.MethodPost, true
 					}
-					answer, err := client.Do(context.Background(), r)
+					response, err := client.Do(context.Background(), r)
 					f.is.NoErr(err)
-					f.is.Equal(answer.Status, http.StatusOK)
-					f.is.Equal(answer.Attempts, 1)
+					f.is.Equal(response.Status, http.StatusOK)
+					f.is.Equal(response.Attempts, 1)
 					mu.Lock()
 					count++
 					mu.Unlock()
@@ -241,9 +241,9 @@
 			})
 		}
 		time.Sleep(time.Second)
-		answer, err := f.newCaller(99).Addresses(context.Background(), "s")
+		addresses, err := f.newCaller(99).Addresses(context.Background(), "s")
 		f.is.NoErr(err)
-		home := answer.Addresses[0].Host
+		home := addresses.Addresses[0].Host
 		began := time.Now()
 		f.is.NoErr(f.stop(home))
 		t.Logf("home %s stopped under load in %v; %d requests succeeded", home, time.Since(began), count)
@@ -257,7 +257,7 @@
 // TestCallerDisconnectCancels checks that the request to the backend server is canceled when its caller disconnects.
 func TestCallerDisconnectCancels(t *testing.T) {
 	cancelled := make(chan bool, 1)
-	behave := func(_ *fakeBackend, _ http.ResponseWriter, r *http.Request, _ string) {
+	handler := func(_ *fakeBackend, _ http.ResponseWriter, r *http.Request, _ string) {
 		select {
 		case <-r.Context().Done():
 			cancelled <- true
@@ -265,7 +265,7 @@
 			cancelled <- false
 		}
 	}
-	withFleetServing(t, 1, 1, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 1, handler, func(f *fleet, _ []*fakeBackend) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		transport := &http.Transport{DialContext: f.net.Dialer("caller")}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -122,9 +122,9 @@
 		f.adjustSettings(&s)
 	}
 	store, closeStore := f.openStore(name)
-	list, closeList := platform.NewHostList(platform.HostListConfig{URL: storeURL + "/Hosts", Timeout: time.Second, Dial: f.net.Dialer(name)})
+	hostList, closeList := platform.NewHostList(platform.HostListConfig{URL: storeURL + "/Hosts", Timeout: time.Second, Dial: f.net.Dialer(name)})
 	h, closeHost, err := New(Config{
-		Settings: s, Logger: zerolog.Nop(), Store: store, HostList: list, Listener: listener, InnerListener: innerListener, Dial: f.net.Dialer(name),
+		Settings: s, Logger: zerolog.Nop(), Store: store, HostList: hostList, Listener: listener, InnerListener: innerListener, Dial: f.net.Dialer(name),
 	})
 	f.is.NoErr(err)
 	n.host = h
@@ -172,8 +172,8 @@
 func (f *fleet) remove(name string) { delete(f.nodes, name) }
 
 // publish publishes a note to the store and returns its number.
-func (f *fleet) publish(text string) int {
-	n, err := note.Parse("note", []byte(text))
+func (f *fleet) publish(content string) int {
+	n, err := note.Parse("note", []byte(content))
 	f.is.NoErr(err)
 	r, err := f.archive.Publish(context.Background(), n, fmt.Sprint(rand.Uint64()), time.Now())
 	f.is.NoErr(err)
@@ -240,14 +240,14 @@
 }
 
 func (b *fakeBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(r.Body)
+	content, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if r.URL.Path == "/Report" {
 		return
 	}
-	b.handler(b, w, r, string(text))
+	b.handler(b, w, r, string(content))
 }
 
 // recordRun counts a run of a request, in total and by Idempotency-Key.
@@ -278,18 +278,18 @@
 }
 
 // backends starts backend servers and returns them with the text of a first note that has them as targets of service s.
-func (f *fleet) backends(count int, behave func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)) ([]*fakeBackend, string) {
-	var list []*fakeBackend
+func (f *fleet) backends(count int, handler func(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string)) ([]*fakeBackend, string) {
+	var backends []*fakeBackend
 	var b strings.Builder
 	b.WriteString("[Note]\nFollows = 0\nOperator = test\nReason = first\n[Service s]\nReportPath = /Report\n" +
 		"[Rule read]\nPath = /\nService = s\nClass = read\nDeadline = 2s\nNotRunStatuses = 503\n")
 	for i := range count {
-		fake := &fakeBackend{name: fmt.Sprintf("target-%d", i+1), runs: map[string]int{}, handler: behave}
+		fake := &fakeBackend{name: fmt.Sprintf("target-%d", i+1), runs: map[string]int{}, handler: handler}
 		fake.address = f.serve(fake.name, "", fake)
-		list = append(list, fake)
+		backends = append(backends, fake)
 		fmt.Fprintf(&b, "[Target %s]\nService = s\nAddress = %s\nDomain = a\n", fake.name, fake.address)
 	}
-	return list, b.String()
+	return backends, b.String()
 }
 
 // send sends one request to a host on a new connection and returns the response with its body.
@@ -305,6 +305,6 @@
 	if err != nil {
 		return nil, "", err
 	}
-	text, err := io.ReadAll(response.Body)
-	return response, string(text), errors.Join(err, response.Body.Close())
+	content, err := io.ReadAll(response.Body)
+	return response, string(content), errors.Join(err, response.Body.Close())
 }
--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -35,10 +35,10 @@
 		return
 	}
 	for _, s := range configuration.Services {
-		list := host.Homes(s.Name, host.HomeCount(s.Name, s.Homes, live), h.settings.Host.Domain, h.settings.Host.Region, live)
+		candidates := host.Homes(s.Name, host.HomeCount(s.Name, s.Homes, live), h.settings.Host.Domain, h.settings.Host.Region, live)
 		home := ""
-		if len(list) > 0 {
-			home = list[0].Name
+		if len(candidates) > 0 {
+			home = candidates[0].Name
 		}
 		old := h.homes.primary[s.Name]
 		if old == home {
--- a/internal/entry/hostlist.go
+++ b/internal/entry/hostlist.go
@@ -9,10 +9,10 @@
 // draining of targets that were leaving in the previous list. It passes the entry hosts of the list to the membership,
 // which takes leaving ones out of use and finds peers by the addresses of the others. It returns the addresses of all
 // leaving hosts.
-func (h *Host) applyHostList(list []platform.ListedHost, previous map[string]bool) map[string]bool {
+func (h *Host) applyHostList(hosts []platform.ListedHost, previous map[string]bool) map[string]bool {
 	addresses, names := map[string]bool{}, map[string]bool{}
 	var entryHosts []string
-	for _, listed := range list {
+	for _, listed := range hosts {
 		if listed.Role == platform.RoleEntry && listed.State != platform.HostLeaving {
 			entryHosts = append(entryHosts, listed.Address)
 		}
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -25,8 +25,8 @@
 )
 
 // serveKeyed runs a non-idempotent request with an Idempotency-Key at most once and writes the result to the caller.
-func (f *frontend) serveKeyed(w http.ResponseWriter, r *http.Request, request *steering.Request, text string) {
-	key, err := claim.ParseKey(text)
+func (f *frontend) serveKeyed(w http.ResponseWriter, r *http.Request, request *steering.Request, keyValue string) {
+	key, err := claim.ParseKey(keyValue)
 	if err != nil {
 		w.Header().Set(steering.HeaderReason, err.Error())
 		f.writeRefusal(w, &steering.Refusal{Status: http.StatusBadRequest, Outcome: claim.NotRun})
@@ -49,7 +49,7 @@
 	if key.Grant.Host == h.Name() && key.Grant.Incarnation == h.incarnation {
 		return h.runLocally(ctx, r, key)
 	}
-	if decision, known := h.sealedTables.Lookup(h.now(), key, r.Fingerprint); known {
+	if decision, found := h.sealedTables.Lookup(h.now(), key, r.Fingerprint); found {
 		return h.decisionResult(decision)
 	}
 	return h.forwardToGrantHost(ctx, r, key)
@@ -206,7 +206,7 @@
 // if it is in the membership table, and then the hosts that may hold a copy of its sealed table.
 func (h *Host) grantHolderAddresses(g claim.Grant) []string {
 	var addresses []string
-	if m, known := h.membership.Find(g.Host); known && m.Incarnation == g.Incarnation {
+	if m, found := h.membership.Find(g.Host); found && m.Incarnation == g.Incarnation {
 		addresses = append(addresses, m.Inner)
 	}
 	for _, m := range h.sealedTableHolders(g.Host, g.Incarnation) {
--- a/internal/entry/notes.go
+++ b/internal/entry/notes.go
@@ -89,9 +89,9 @@
 			return err
 		}
 	}
-	for _, text := range reply.Records {
+	for _, encoded := range reply.Records {
 		var r note.Record
-		if err := json.Unmarshal(text, &r); err != nil {
+		if err := json.Unmarshal(encoded, &r); err != nil {
 			return note.ErrChain.New("cannot decode a record that the peer sent: %v; fetch the notes from another peer", err)
 		}
 		if _, err := chain.Apply(r); err != nil {
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -55,11 +55,11 @@
 		}
 	}
 	for _, record := range records {
-		text, err := json.Marshal(record)
+		encoded, err := json.Marshal(record)
 		if err != nil {
 			return nil, err
 		}
-		reply.Records = append(reply.Records, text)
+		reply.Records = append(reply.Records, encoded)
 	}
 	return reply, nil
 }
@@ -99,7 +99,7 @@
 	if key.Grant.Host == p.host.Name() && key.Grant.Incarnation == p.host.incarnation {
 		return passReply(p.host.runLocally(ctx, request, key))
 	}
-	if decision, known := p.host.sealedTables.Lookup(p.host.now(), key, request.Fingerprint); known {
+	if decision, isSealed := p.host.sealedTables.Lookup(p.host.now(), key, request.Fingerprint); isSealed {
 		return passReply(p.host.decisionResult(decision))
 	}
 	return &inner.PassReply{Status: statusUnknownGrant}
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -45,8 +45,8 @@
 	return p
 }
 
-// owner is the value of a claimed key in the store: the grant of the only incarnation that may run the request.
-type owner struct {
+// storedGrant is the value of a claimed key in the store: the grant of the only incarnation that may run the request.
+type storedGrant struct {
 	Host        string
 	Incarnation string
 	Issued      int64
@@ -63,7 +63,7 @@
 	if err != nil {
 		return k, false
 	}
-	value, err := json.Marshal(owner{newGrant.Host, strconv.FormatUint(newGrant.Incarnation, 10), newGrant.Issued})
+	value, err := json.Marshal(storedGrant{newGrant.Host, strconv.FormatUint(newGrant.Incarnation, 10), newGrant.Issued})
 	if err != nil {
 		return k, false
 	}
@@ -85,7 +85,7 @@
 	if result.Created {
 		return k, true
 	}
-	var o owner
+	var o storedGrant
 	if json.Unmarshal(result.Existing.Value, &o) != nil {
 		return k, false
 	}
--- a/internal/entry/protocol_test.go
+++ b/internal/entry/protocol_test.go
@@ -112,8 +112,8 @@
 	withFleet(t, func(f *fleet) {
 		f.adjustSettings = func(s *settings.Settings) { s.Limits.KeyedBodyBytes, s.Limits.BodyBytes = 100, 1000 }
 		f.start("entry-1", "a")
-		backends, text := f.backends(1, echo)
-		f.publish(text)
+		backends, content := f.backends(1, echo)
+		f.publish(content)
 		f.awaitNote(1, 5*time.Second)
 		cases := []struct {
 			size   int
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -72,15 +72,15 @@
 	control := http.NewResponseController(w)
 	// An error means that the server does not support deadlines, as in some tests; its header timeout still applies.
 	_ = control.SetReadDeadline(time.Now().Add(stallTimeout))
-	text, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
+	content, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err != nil:
 		return nil, &steering.Refusal{Status: http.StatusBadRequest, Outcome: claim.Unknown, Reason: "BodyCut"}
-	case len(text) > limit:
+	case len(content) > limit:
 		return nil, bodyTooLarge
 	}
-	request.Body, request.Length = text, int64(len(text))
+	request.Body, request.Length = content, int64(len(content))
 	request.Fingerprint = fingerprint(request)
 	return request, nil
 }
@@ -122,7 +122,7 @@
 	if address, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		header.Add("X-Forwarded-For", address)
 	}
-	if _, given := header["User-Agent"]; !given {
+	if _, found := header["User-Agent"]; !found {
 		header.Set("User-Agent", "")
 	}
 	return header
--- a/internal/entry/recovery_test.go
+++ b/internal/entry/recovery_test.go
@@ -25,9 +25,9 @@
 
 // expectServing checks that a request of a new caller succeeds.
 func (f *fleet) expectServing(seed uint64) {
-	answer, err := f.newCaller(seed).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodGet, Path: "/serves"})
+	response, err := f.newCaller(seed).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodGet, Path: "/serves"})
 	f.is.NoErr(err)
-	f.is.Equal(answer.Status, http.StatusOK)
+	f.is.Equal(response.Status, http.StatusOK)
 }
 
 // awaitLive waits until every running host has exactly the given number of live hosts in its membership table.
@@ -141,9 +141,9 @@
 // is within membershipBound and that the fleet serves requests again.
 func expectRecovery(t *testing.T, fail func(f *fleet) time.Duration) {
 	withFleetServing(t, 6, 3, echo, func(f *fleet, _ []*fakeBackend) {
-		took := fail(f)
-		t.Logf("recovered after %v", took)
-		f.is.True(took <= membershipBound)
+		elapsed := fail(f)
+		t.Logf("recovered after %v", elapsed)
+		f.is.True(elapsed <= membershipBound)
 		f.expectServing(1)
 	})
 }
@@ -159,8 +159,8 @@
 			time.Sleep(15 * time.Minute)
 			f.crash(name)
 			f.start(name, "")
-			took := f.awaitNote(2, membershipBound)
-			t.Logf("%s replaced while the store was down: all hosts ready after %v", name, took)
+			elapsed := f.awaitNote(2, membershipBound)
+			t.Logf("%s replaced while the store was down: all hosts ready after %v", name, elapsed)
 			f.expectServing(uint64(len(name)))
 		}
 		f.store.SetFaults(standin.Faults{})
@@ -177,11 +177,11 @@
 		f.awaitNote(2, noteBound)
 		for i := range 3 {
 			replaced := fmt.Sprintf("entry-%d", i+1)
-			var list []platform.ListedHost
+			var hosts []platform.ListedHost
 			for name, n := range f.nodes {
-				list = append(list, platform.ListedHost{Name: name, Address: n.inner, State: platform.HostLive, Role: platform.RoleEntry})
+				hosts = append(hosts, platform.ListedHost{Name: name, Address: n.inner, State: platform.HostLive, Role: platform.RoleEntry})
 			}
-			f.store.SetHosts(list) // the list lags: it still has the host that is about to end
+			f.store.SetHosts(hosts) // the list lags: it still has the host that is about to end
 			f.crash(replaced)
 			f.remove(replaced)
 			f.adjustSettings = func(s *settings.Settings) { s.Peers.Seeds = []string{"10.9.9.9:1"} }
--- a/internal/entry/serve_test.go
+++ b/internal/entry/serve_test.go
@@ -15,7 +15,7 @@
 // TestResponsesAreForwardedUnchanged checks that status, body and length of responses reach the caller, also without a body
 // and with a body of unknown length, and that hop-by-hop header fields do not. Length -2 means that it is not checked.
 func TestResponsesAreForwardedUnchanged(t *testing.T) {
-	behave := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
+	handler := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
 		w.Header().Set("Keep-Alive", "timeout=5")
 		w.Header().Set("X-Hop", r.Header.Get("X-Hop"))
 		switch r.URL.Path {
@@ -45,7 +45,7 @@
 		{"PUT", "/a//b/../c?d=%20e", "text", http.StatusTeapot, "/a//b/../c?d=%20etext", 21},
 		{"POST", "/x", strings.Repeat("y", maxReplayBytes+1), http.StatusTeapot, "/x" + strings.Repeat("y", maxReplayBytes+1), -2},
 	}
-	withFleetServing(t, 1, 2, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 2, handler, func(f *fleet, _ []*fakeBackend) {
 		for _, c := range cases {
 			response, body, err := f.send(f.nodes["entry-1"], c.method, c.path, c.body, map[string]string{"Connection": "X-Hop", "X-Hop": "secret"})
 			f.is.NoErr(err)
@@ -61,7 +61,7 @@
 // TestSlowStreamOutlivesTheDeadline checks that a response may take longer than the rule's deadline once it has begun, and
 // that a request whose response has not begun by the deadline fails then.
 func TestSlowStreamOutlivesTheDeadline(t *testing.T) {
-	behave := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, _ string) {
+	handler := func(_ *fakeBackend, w http.ResponseWriter, r *http.Request, _ string) {
 		if r.URL.Path == "/late" {
 			time.Sleep(time.Minute)
 			return
@@ -74,7 +74,7 @@
 			time.Sleep(time.Second)
 		}
 	}
-	withFleetServing(t, 1, 1, behave, func(f *fleet, _ []*fakeBackend) {
+	withFleetServing(t, 1, 1, handler, func(f *fleet, _ []*fakeBackend) {
 		began := time.Now()
 		_, body, err := f.send(f.nodes["entry-1"], http.MethodGet, "/slow", "", nil)
 		f.is.NoErr(err)
@@ -109,8 +109,8 @@
 func TestFleetServesRequests(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.startAll(3)
-		backends, text := f.backends(2, echo)
-		f.is.Equal(f.publish(text), 1)
+		backends, content := f.backends(2, echo)
+		f.is.Equal(f.publish(content), 1)
 		f.is.True(f.awaitNote(1, 5*time.Second) < 2*time.Second)
 		f.awaitPeers(5 * time.Second)
 		response, body, err := f.send(f.nodes["entry-2"], http.MethodGet, "/x", "", nil)
@@ -118,9 +118,9 @@
 		f.is.Equal(response.StatusCode, http.StatusOK)
 		f.is.Equal(body, "GET /x ")
 		f.is.True(response.Header.Get(steering.HeaderTarget) != "")
-		answer, err := f.newCaller(1).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodPost, Path: "/y", Body: []byte("b"), AtMostOnce: true})
+		result, err := f.newCaller(1).Do(context.Background(), caller.Request{Service: "s", Method: http.MethodPost, Path: "/y", Body: []byte("b"), AtMostOnce: true})
 		f.is.NoErr(err)
-		f.is.Equal(string(answer.Body), "POST /y b")
-		f.is.Equal(backends[0].runsWithKey(answer.IdempotencyKeys[0])+backends[1].runsWithKey(answer.IdempotencyKeys[0]), 1)
+		f.is.Equal(string(result.Body), "POST /y b")
+		f.is.Equal(backends[0].runsWithKey(result.IdempotencyKeys[0])+backends[1].runsWithKey(result.IdempotencyKeys[0]), 1)
 	})
 }
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -26,8 +26,8 @@
 // complete and belongs to its request.
 func TestAtMostOnceSoak(t *testing.T) {
 	seeds, requests := []uint64{1, 2, 3}, 1500
-	if text := os.Getenv("BRIARCROFT_SOAK"); text != "" {
-		requests, _ = strconv.Atoi(text)
+	if value := os.Getenv("BRIARCROFT_SOAK"); value != "" {
+		requests, _ = strconv.Atoi(value)
 		seed, _ := strconv.ParseUint(os.Getenv("BRIARCROFT_SEED"), 10, 64)
 		seeds = []uint64{seed}
 	}
@@ -64,9 +64,9 @@
 
 func (s *soak) run(requests int) {
 	s.f.startAll(4)
-	var text string
-	s.backends, text = s.f.backends(5, s.faultyHandler)
-	s.f.publish(text)
+	var content string
+	s.backends, content = s.f.backends(5, s.faultyHandler)
+	s.f.publish(content)
 	s.f.awaitNote(1, 10*time.Second)
 	s.f.awaitPeers(10 * time.Second)
 	stop, faultsDone := make(chan struct{}), make(chan struct{})
@@ -92,7 +92,7 @@
 // faultyHandler is a backend handler that at random breaks the connection before or after the run, truncates its response,
 // refuses, or responds after the deadline.
 func (s *soak) faultyHandler(b *fakeBackend, w http.ResponseWriter, r *http.Request, body string) {
-	answer := r.Method + " " + r.URL.Path + " " + body
+	content := r.Method + " " + r.URL.Path + " " + body
 	switch n := s.intN(100); {
 	case n < 3:
 		panic(http.ErrAbortHandler)
@@ -104,8 +104,8 @@
 		panic(http.ErrAbortHandler)
 	case n < 12:
 		b.recordRun(r)
-		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-		_, _ = w.Write([]byte(answer[:len(answer)/2]))
+		w.Header().Set("Content-Length", strconv.Itoa(len(content)))
+		_, _ = w.Write([]byte(content[:len(content)/2]))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	case n < 14:
@@ -115,7 +115,7 @@
 		b.recordRun(r)
 		time.Sleep(time.Duration(1+n%20) * time.Millisecond)
 	}
-	_, _ = w.Write([]byte(answer))
+	_, _ = w.Write([]byte(content))
 }
 
 // totalRuns returns how often requests with a key ran, over all backend servers.
@@ -138,7 +138,7 @@
 	}
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	answers, refusals, sends := 0, 0, 0
+	completed, refusals, sends := 0, 0, 0
 	var history []string
 	send := func() {
 		outcome, trace := s.send(key, path)
@@ -148,7 +148,7 @@
 		history = append(history, trace)
 		switch outcome {
 		case "answered":
-			answers++
+			completed++
 		case string(claim.NotRun):
 			refusals++
 		}
@@ -159,7 +159,7 @@
 		}
 		send()
 		mu.Lock()
-		answered := answers > 0
+		answered := completed > 0
 		mu.Unlock()
 		if answered && s.intN(2) == 0 {
 			break
@@ -171,7 +171,7 @@
 	if runs > 1 {
 		s.t.Errorf("%s with key %s ran %d times, want at most 1", path, key, runs)
 	}
-	if answers > 0 && runs != 1 {
+	if completed > 0 && runs != 1 {
 		s.t.Errorf("%s with key %s got a response but ran %d times", path, key, runs)
 	}
 	if refusals > 0 && runs > 0 && (!plain || sends == 1) {
@@ -185,11 +185,11 @@
 		return "plain" + strings.ReplaceAll(path, "/", "-")
 	}
 	response, body, err := s.f.send(s.randomHost(), http.MethodGet, "/Addresses?Service=s", "", nil)
-	var answer address.Response
-	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &answer) != nil {
+	var addresses address.Response
+	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &addresses) != nil {
 		return ""
 	}
-	return answer.Grant + "." + strings.ReplaceAll(path, "/", "-")
+	return addresses.Grant + "." + strings.ReplaceAll(path, "/", "-")
 }
 
 func (s *soak) randomHost() *node {
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -104,8 +104,8 @@
 }
 
 type partialTable struct {
-	seen    map[uint32]bool
-	entries []claim.SealedEntry
+	receivedParts map[uint32]bool
+	entries       []claim.SealedEntry
 }
 
 // maxPartialTables bounds the tables that are received at the same time. Beyond it, all incomplete ones are dropped.
@@ -123,14 +123,14 @@
 		if len(s.tables) >= maxPartialTables {
 			clear(s.tables)
 		}
-		t = &partialTable{seen: map[uint32]bool{}}
+		t = &partialTable{receivedParts: map[uint32]bool{}}
 		s.tables[id] = t
 	}
-	if !t.seen[r.Part] {
-		t.seen[r.Part] = true
+	if !t.receivedParts[r.Part] {
+		t.receivedParts[r.Part] = true
 		t.entries = append(t.entries, sealedEntriesFromWire(r.Entries)...)
 	}
-	if uint32(len(t.seen)) < r.Parts {
+	if uint32(len(t.receivedParts)) < r.Parts {
 		return nil, false
 	}
 	delete(s.tables, id)
@@ -138,12 +138,12 @@
 }
 
 func sealedEntriesFromWire(entries []*inner.SealedEntry) []claim.SealedEntry {
-	list := make([]claim.SealedEntry, 0, len(entries))
+	sealed := make([]claim.SealedEntry, 0, len(entries))
 	for _, e := range entries {
-		list = append(list, claim.SealedEntry{
+		sealed = append(sealed, claim.SealedEntry{
 			Key: e.Key, Fingerprint: e.Fingerprint, Outcome: claim.Outcome(e.Outcome), HasResponse: e.Kept,
 			Response: claim.Response{Status: int(e.Status), Header: fieldsFromWire(e.Headers), Body: e.Body},
 		})
 	}
-	return list
+	return sealed
 }
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -10,45 +10,45 @@
 
 // quarantinesToWire returns the requests that this host has in quarantine, as sent in heartbeats.
 func (h *Host) quarantinesToWire() []*inner.Quarantine {
-	var list []*inner.Quarantine
+	var encoded []*inner.Quarantine
 	for _, o := range h.quarantine.List(h.now()) {
-		list = append(list, &inner.Quarantine{Fingerprint: o.Fingerprint, RemainingMilliseconds: o.Remaining.Milliseconds(), Reason: o.Reason})
+		encoded = append(encoded, &inner.Quarantine{Fingerprint: o.Fingerprint, RemainingMilliseconds: o.Remaining.Milliseconds(), Reason: o.Reason})
 	}
-	return list
+	return encoded
 }
 
 func quarantinesFromWire(quarantines []*inner.Quarantine) []claim.QuarantinedRequest {
-	var list []claim.QuarantinedRequest
+	var decoded []claim.QuarantinedRequest
 	for _, q := range quarantines {
-		list = append(list, claim.QuarantinedRequest{Fingerprint: q.Fingerprint, Remaining: time.Duration(q.RemainingMilliseconds) * time.Millisecond, Reason: q.Reason})
+		decoded = append(decoded, claim.QuarantinedRequest{Fingerprint: q.Fingerprint, Remaining: time.Duration(q.RemainingMilliseconds) * time.Millisecond, Reason: q.Reason})
 	}
-	return list
+	return decoded
 }
 
 func fieldsToWire(fields []claim.HeaderField) []*inner.Header {
-	list := make([]*inner.Header, 0, len(fields))
+	encoded := make([]*inner.Header, 0, len(fields))
 	for _, f := range fields {
-		list = append(list, &inner.Header{Name: f.Name, Value: f.Value})
+		encoded = append(encoded, &inner.Header{Name: f.Name, Value: f.Value})
 	}
-	return list
+	return encoded
 }
 
 func fieldsFromWire(headers []*inner.Header) []claim.HeaderField {
-	list := make([]claim.HeaderField, 0, len(headers))
+	decoded := make([]claim.HeaderField, 0, len(headers))
 	for _, f := range headers {
-		list = append(list, claim.HeaderField{Name: f.Name, Value: f.Value})
+		decoded = append(decoded, claim.HeaderField{Name: f.Name, Value: f.Value})
 	}
-	return list
+	return decoded
 }
 
 func fieldsFromHeader(header http.Header) []claim.HeaderField {
-	var list []claim.HeaderField
+	var fields []claim.HeaderField
 	for name, values := range header {
 		for _, value := range values {
-			list = append(list, claim.HeaderField{Name: name, Value: value})
+			fields = append(fields, claim.HeaderField{Name: name, Value: value})
 		}
 	}
-	return list
+	return fields
 }
 
 func headerFromFields(fields []claim.HeaderField) http.Header {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -76,9 +76,9 @@
 		func(m host.Member) bool { return m.Domain == domain },
 		func(m host.Member) bool { return m.Region == region },
 	} {
-		list := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return !isNear(m) })
-		if len(list) >= minNearHosts {
-			return listenAddresses(list)
+		near := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return !isNear(m) })
+		if len(near) >= minNearHosts {
+			return listenAddresses(near)
 		}
 	}
 	return listenAddresses(live)
@@ -86,11 +86,11 @@
 
 // listenAddresses returns the callers' addresses of up to maxAddresses hosts.
 func listenAddresses(members []host.Member) []string {
-	var list []string
+	var addresses []string
 	for _, m := range members[:min(len(members), maxAddresses)] {
-		list = append(list, m.Listen)
+		addresses = append(addresses, m.Listen)
 	}
-	return list
+	return addresses
 }
 
 // serveMetrics serves the operator's pages: metrics, the note in force, the host's status and its change records.
@@ -151,7 +151,7 @@
 		{"Attempts", func() any { return s.attempts.Load() }},
 		{"Probes", func() any { return s.probes.Load() }},
 		{"StoreCalls", func() any { return s.storeCalls.Load() }},
-		{"StoreLost", func() any { return g.storeWatch.lost.Load() }},
+		{"StoreLost", func() any { return g.storeWatch.unreachable.Load() }},
 		{"SilentHomes", func() any { return s.unresponsiveHomes.Load() }},
 		{"SlowReaders", func() any { return s.slowReaders.Load() }},
 		{"OpenConnections", func() any { return g.openConns.Load() }},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,18 +122,18 @@
 	client *inner.Client
 	// heartbeatTrigger starts a round of heartbeats before its time.
 	heartbeatTrigger *ring.Queue[struct{}]
-	// peersAhead holds a peer that has a newer note than this host.
-	peersAhead *ring.Queue[host.Member]
-	homeServer *homeServer
-	pools      *pools
-	homeClient *homeClient
-	rules      atomic.Pointer[ruleIndex]
-	split      trafficSplit
-	histograms *meter.Histograms
-	stats      stats
-	followers  followers
-	storeWatch watchState
-	bodies     bodyBudget
+	// peersWithNewerNote holds a peer that has a newer note than this host.
+	peersWithNewerNote *ring.Queue[host.Member]
+	homeServer         *homeServer
+	pools              *pools
+	homeClient         *homeClient
+	rules              atomic.Pointer[ruleIndex]
+	split              trafficSplit
+	histograms         *meter.Histograms
+	stats              stats
+	followers          followers
+	storeWatch         watchState
+	bodies             bodyBudget
 	// applyMu serializes applyView and guards targetStates, which holds the recorded state of each target by name.
 	applyMu      sync.Mutex
 	targetStates map[string]string
@@ -155,7 +155,7 @@
 	}
 	g := &Gateway{
 		config: c, settings: c.Settings, dialect: c.Dialect, start: time.Now(), chain: &note.Chain{},
-		heartbeatTrigger: ring.NewQueue[struct{}](ring.Config{Capacity: 1}), peersAhead: ring.NewQueue[host.Member](ring.Config{Capacity: 1}), histograms: meter.NewHistograms(), logger: c.Logger,
+		heartbeatTrigger: ring.NewQueue[struct{}](ring.Config{Capacity: 1}), peersWithNewerNote: ring.NewQueue[host.Member](ring.Config{Capacity: 1}), histograms: meter.NewHistograms(), logger: c.Logger,
 		bodies: bodyBudget{limit: int64(c.Settings.Limits.HeldBytes)},
 	}
 	g.reloadable.Store(&g.settings)
@@ -173,7 +173,7 @@
 	})
 	g.heartbeats = &inner.Heartbeats{Table: g.members, Client: g.client, Now: g.now, NewRequest: func(n host.Gossip) *inner.HeartbeatRequest {
 		return inner.NewHeartbeatRequest(c.Settings.Host.Name, n)
-	}, OnReply: func(r *inner.HeartbeatReply) { g.queueIfAhead(r.Sender, r.Members) }}
+	}, OnReply: func(r *inner.HeartbeatReply) { g.queueIfNewer(r.Sender, r.Members) }}
 	var cancelBackground context.CancelFunc
 	g.background, cancelBackground = context.WithCancel(context.Background())
 	g.rules.Store(&ruleIndex{})
@@ -252,8 +252,8 @@
 // caller holds applyMu.
 func (g *Gateway) recordTargetChanges(v *roster.View) {
 	states := map[string]string{}
-	for service, list := range v.Targets {
-		for _, t := range list {
+	for service, targets := range v.Targets {
+		for _, t := range targets {
 			state := route.Live.String()
 			if t.Draining {
 				state = route.Draining.String()
@@ -353,19 +353,19 @@
 		{"Directory", s.Directory, g.serveDirectory},
 		{"Metrics", s.Metrics, g.serveMetrics},
 	}
-	var list []listener
+	var listeners []listener
 	for _, e := range endpoints {
 		if e.address == "" {
 			continue
 		}
 		l, err := g.config.Listen("tcp", e.address)
 		if err != nil {
-			for _, opened := range list {
+			for _, opened := range listeners {
 				err = errors.Join(err, opened.Close())
 			}
 			return nil, ErrListen.New("[Host] %s: %v; choose a free address", e.key, err)
 		}
-		list = append(list, listener{l, e.handle})
+		listeners = append(listeners, listener{l, e.handle})
 	}
-	return list, nil
+	return listeners, nil
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -208,13 +208,13 @@
 		for _, m := range host.Watchers(members, 1) {
 			watcher[m.Name] = true
 		}
-		var others []string
+		var nonWatchers []string
 		for _, m := range members {
 			if !watcher[m.Name] {
-				others = append(others, m.Name)
+				nonWatchers = append(nonWatchers, m.Name)
 			}
 		}
-		isolated, reachablePeer := others[0], others[1]
+		isolated, reachablePeer := nonWatchers[0], nonWatchers[1]
 		f.net.Partition(isolated, "store")
 		for _, m := range members {
 			if m.Name != isolated && m.Name != reachablePeer {
@@ -247,13 +247,13 @@
 	withFleet(t, 3, 4, func(f *fleet) {
 		f.register(f.targets["t0"], "draining")
 		f.store.Delete("servers/t1")
-		left := time.Now()
+		drainStart := time.Now()
 		for i := range 60 {
 			f.is.Equal(f.call(fmt.Sprintf("h%d", i%3), http.MethodGet, "/lookup/1", fmt.Sprintf("d%d", i)).status, 200)
 			time.Sleep(50 * time.Millisecond)
 		}
 		for _, name := range []string{"t0", "t1"} {
-			f.targets[name].Update(func(t *standin.Target) { f.is.True(t.LastRunStart.Before(left.Add(time.Second))) })
+			f.targets[name].Update(func(t *standin.Target) { f.is.True(t.LastRunStart.Before(drainStart.Add(time.Second))) })
 		}
 	})
 }
@@ -426,8 +426,8 @@
 func TestRejections(t *testing.T) {
 	withFleet(t, 1, 1, func(f *fleet) {
 		cases := []struct {
-			name, text string
-			status     int
+			name, request string
+			status        int
 		}{
 			{"no HTTP", "HELLO\r\n\r\n", 400},
 			{"two lengths", "POST /order/1 HTTP/1.1\r\nHost: www.example\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
@@ -437,11 +437,11 @@
 		for _, c := range cases {
 			conn, err := f.net.Dialer("caller")(context.Background(), "tcp", f.hosts["h0"].listen)
 			f.is.NoErr(err)
-			go func() { _, _ = io.WriteString(conn, c.text) }()
-			line := make([]byte, 12)
-			_, err = io.ReadFull(conn, line)
+			go func() { _, _ = io.WriteString(conn, c.request) }()
+			statusLine := make([]byte, 12)
+			_, err = io.ReadFull(conn, statusLine)
 			f.is.NoErr(err)
-			f.is.Equal(string(line), fmt.Sprintf("HTTP/1.1 %d", c.status))
+			f.is.Equal(string(statusLine), fmt.Sprintf("HTTP/1.1 %d", c.status))
 			f.is.NoErr(conn.Close())
 		}
 	})
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -106,11 +106,11 @@
 func (s *homeServer) serviceHomes() []*serviceHome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]*serviceHome, 0, len(s.services))
+	homes := make([]*serviceHome, 0, len(s.services))
 	for _, h := range s.services {
-		list = append(list, h)
+		homes = append(homes, h)
 	}
-	return list
+	return homes
 }
 
 // serviceHome returns the placement state of a service, creating it with the targets in the roster.
@@ -168,9 +168,9 @@
 
 // applyView sets the service's targets and health path; the caller holds h.mu.
 func (h *serviceHome) applyView(v *roster.View) {
-	list := v.Targets[h.service]
-	targets := make([]placement.Target, 0, len(list))
-	for _, t := range list {
+	registered := v.Targets[h.service]
+	targets := make([]placement.Target, 0, len(registered))
+	for _, t := range registered {
 		targets = append(targets, t.Target)
 	}
 	if service, found := v.Configuration.Service(h.service); found {
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -162,19 +162,19 @@
 func (c *homeClient) placers(service string) []placer {
 	now := c.gateway.now()
 	self := c.gateway.settings.Host.Name
-	var list []placer
+	var placers []placer
 	for _, m := range c.rankedHomes(service) {
 		if m.Name == self {
 			break
 		}
-		if len(list) == maxRemoteHomes {
+		if len(placers) == maxRemoteHomes {
 			break
 		}
 		if h := c.remote(now, m); h != nil {
-			list = append(list, h)
+			placers = append(placers, h)
 		}
 	}
-	return append(list, c.local)
+	return append(placers, c.local)
 }
 
 // suspect excludes another host from placers for suspectTime.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -30,7 +30,7 @@
 
 // Heartbeat implements inner.DRPCPeerServer.
 func (p *peerServer) Heartbeat(_ context.Context, r *inner.HeartbeatRequest) (*inner.HeartbeatReply, error) {
-	p.gateway.queueIfAhead(r.Sender, r.Members)
+	p.gateway.queueIfNewer(r.Sender, r.Members)
 	return inner.HandleHeartbeat(p.gateway.members, p.gateway.now(), r), nil
 }
 
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -68,8 +68,8 @@
 // applyView closes the pools of targets that are no longer registered at their address.
 func (p *pools) applyView(v *roster.View) {
 	registered := map[poolKey]bool{}
-	for _, list := range v.Targets {
-		for _, t := range list {
+	for _, targets := range v.Targets {
+		for _, t := range targets {
 			registered[poolKey{t.Name, t.Address}] = true
 		}
 	}
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -58,11 +58,11 @@
 
 // parseLoad returns the load that a target reports in its response header, or nil.
 func (g *Gateway) parseLoad(header http.Header) *placement.LoadReport {
-	text := header.Get(g.dialect.LoadHeader)
-	if text == "" {
+	value := header.Get(g.dialect.LoadHeader)
+	if value == "" {
 		return nil
 	}
-	load, ok := g.dialect.ParseLoad(text)
+	load, ok := g.dialect.ParseLoad(value)
 	if !ok {
 		return nil
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -35,8 +35,8 @@
 	watchRetryPause = 300 * time.Millisecond
 	// lostStoreRetryPause is the pause after a failed call while other hosts can reach the store.
 	lostStoreRetryPause = time.Second
-	// failuresUntilLost is how many calls in a row must fail for the store to count as unreachable.
-	failuresUntilLost = 2
+	// failuresUntilUnreachable is how many calls in a row must fail for the store to count as unreachable.
+	failuresUntilUnreachable = 2
 	// followKeepAliveInterval is how often a host sends its followers a keep-alive message while nothing changes.
 	followKeepAliveInterval = 500 * time.Millisecond
 	// followSilenceTimeout is how long a followed host may send nothing before its stream is closed.
@@ -55,8 +55,8 @@
 
 // watchState is the state that the background tasks for the store share.
 type watchState struct {
-	// lost is set while this host cannot reach the store.
-	lost atomic.Bool
+	// unreachable is set while this host cannot reach the store.
+	unreachable atomic.Bool
 	// watching is set while this host follows the store itself.
 	watching atomic.Bool
 	// loaded is set once this host has read the store successfully.
@@ -67,9 +67,9 @@
 func (g *Gateway) watchers() []host.Member {
 	live := g.members.Live(g.now())
 	connected := slices.DeleteFunc(slices.Clone(live), func(m host.Member) bool { return m.StoreLost })
-	list := host.Watchers(connected, watchersPerDomain)
-	slices.SortStableFunc(list, func(a, b host.Member) int { return g.distance(a) - g.distance(b) })
-	return list
+	watchers := host.Watchers(connected, watchersPerDomain)
+	slices.SortStableFunc(watchers, func(a, b host.Member) int { return g.distance(a) - g.distance(b) })
+	return watchers
 }
 
 // distance returns 0 for hosts of this host's failure domain and 1 for others.
@@ -83,8 +83,8 @@
 // isWatcher reports whether this host should follow the store itself: because it is one of the watchers, or because no
 // ready host is known to reach the store.
 func (g *Gateway) isWatcher() bool {
-	list := g.watchers()
-	return len(list) == 0 || slices.ContainsFunc(list, func(m host.Member) bool { return m.Name == g.settings.Host.Name })
+	watchers := g.watchers()
+	return len(watchers) == 0 || slices.ContainsFunc(watchers, func(m host.Member) bool { return m.Name == g.settings.Host.Name })
 }
 
 // runStoreWatch is the background task that reads the store at the start and follows it while this host is a watcher.
@@ -145,7 +145,7 @@
 		return 0
 	}
 	w.failures++
-	if w.failures < failuresUntilLost {
+	if w.failures < failuresUntilUnreachable {
 		return firstRetryPause
 	}
 	g.setStoreLost(err)
@@ -195,7 +195,7 @@
 
 // markStoreReturned handles the end of an outage of the store and reports it to the followers.
 func (g *Gateway) markStoreReturned() {
-	if g.storeWatch.lost.Load() && g.roster.StoreReturned(g.now()) {
+	if g.storeWatch.unreachable.Load() && g.roster.StoreReturned(g.now()) {
 		g.followers.broadcast(storeUpdate{returned: true})
 	}
 }
@@ -210,16 +210,16 @@
 // setStoreLost sets whether the store is unreachable, which a non-nil error means. It records each transition and
 // sends it to the peers.
 func (g *Gateway) setStoreLost(err error) {
-	lost := err != nil
-	if g.storeWatch.lost.Swap(lost) == lost {
+	unreachable := err != nil
+	if g.storeWatch.unreachable.Swap(unreachable) == unreachable {
 		return
 	}
 	r := record.Record{Kind: record.StoreReturned, Cause: "Call", Note: g.chain.Number()}
-	if lost {
+	if unreachable {
 		r.Kind, r.Evidence.Detail = record.StoreLost, err.Error()
 	}
 	g.records.Add(r)
-	g.members.SetStoreLost(lost)
+	g.members.SetStoreLost(unreachable)
 	g.heartbeatTrigger.Push(struct{}{})
 }
 
@@ -258,13 +258,13 @@
 // this host does not follow the store itself, has not read it yet or cannot reach it, and none otherwise. Names of
 // streams that have ended are sent to ended.
 func (g *Gateway) updateFollowed(ctx context.Context, streams map[string]context.CancelFunc, ended chan<- string) {
-	wanted := map[string]bool{}
-	if !g.storeWatch.watching.Load() || !g.storeWatch.loaded.Load() || g.storeWatch.lost.Load() {
+	toFollow := map[string]bool{}
+	if !g.storeWatch.watching.Load() || !g.storeWatch.loaded.Load() || g.storeWatch.unreachable.Load() {
 		for _, m := range g.updateSources() {
-			if m.Name == g.settings.Host.Name || len(wanted) == maxFollowed {
+			if m.Name == g.settings.Host.Name || len(toFollow) == maxFollowed {
 				continue
 			}
-			wanted[m.Name] = true
+			toFollow[m.Name] = true
 			if streams[m.Name] != nil {
 				continue
 			}
@@ -278,7 +278,7 @@
 		}
 	}
 	for name, cancel := range streams {
-		if !wanted[name] {
+		if !toFollow[name] {
 			cancel()
 		}
 	}
@@ -287,16 +287,16 @@
 // updateSources returns the hosts that may be followed: the watchers, or all ready hosts while none of them reaches the
 // store.
 func (g *Gateway) updateSources() []host.Member {
-	if list := g.watchers(); len(list) > 0 {
-		return list
+	if watchers := g.watchers(); len(watchers) > 0 {
+		return watchers
 	}
 	return g.members.Live(g.now())
 }
 
-// queueIfAhead queues the sender of a heartbeat or its reply for runCatchUp if it has a newer note than this host.
-func (g *Gateway) queueIfAhead(sender string, members []*inner.Member) {
+// queueIfNewer queues the sender of a heartbeat or its reply for runCatchUp if it has a newer note than this host.
+func (g *Gateway) queueIfNewer(sender string, members []*inner.Member) {
 	if m, ahead := inner.SenderWithNewerNote(sender, members, g.chain.Number()); ahead {
-		g.peersAhead.Push(m)
+		g.peersWithNewerNote.Push(m)
 	}
 }
 
@@ -304,7 +304,7 @@
 // watchers have not sent them in time. The watchers may be slow, or unreachable from this host only.
 func (g *Gateway) runCatchUp(ctx context.Context) {
 	for {
-		m, ok := g.peersAhead.Pop(ctx)
+		m, ok := g.peersWithNewerNote.Pop(ctx)
 		if !ok {
 			return
 		}
--- a/internal/host/demand.go
+++ b/internal/host/demand.go
@@ -85,14 +85,14 @@
 
 // Demands returns the demand of each service that needs more than one home, sorted by service.
 func (s *HomeScaler) Demands() []HomeDemand {
-	var list []HomeDemand
+	var demands []HomeDemand
 	for service, d := range s.services {
 		if d.homes > 1 {
-			list = append(list, HomeDemand{service, d.homes})
+			demands = append(demands, HomeDemand{service, d.homes})
 		}
 	}
-	slices.SortFunc(list, func(a, b HomeDemand) int { return cmp.Compare(a.Service, b.Service) })
-	return list
+	slices.SortFunc(demands, func(a, b HomeDemand) int { return cmp.Compare(a.Service, b.Service) })
+	return demands
 }
 
 // HomeCount returns the number of homes of a service: the configured number given as homes, or the highest number that
--- a/internal/host/home.go
+++ b/internal/host/home.go
@@ -54,10 +54,10 @@
 	homes = min(homes, len(ranked))
 	preferred := Rank(service+"\x00"+domain, ranked[:homes])
 	slices.SortStableFunc(preferred, func(a, b Member) int { return cmp.Compare(domainDistance(a, domain), domainDistance(b, domain)) })
-	list := append(preferred, ranked[homes:]...)
-	list = list[:min(len(list), max(homes, maxLocalAddresses))]
+	selected := append(preferred, ranked[homes:]...)
+	selected = selected[:min(len(selected), max(homes, maxLocalAddresses))]
 	remote = Rank(service, remote)
-	return append(list, remote[:min(len(remote), maxRemoteAddresses)]...)
+	return append(selected, remote[:min(len(remote), maxRemoteAddresses)]...)
 }
 
 // RegionHomes returns the homes of a service in one region, or among all live hosts if the region has none.
@@ -115,13 +115,13 @@
 		}
 		selected[m.Domain] = best
 	}
-	var list []Member
+	var members []Member
 	for i, m := range live {
 		if slices.ContainsFunc(selected[m.Domain], func(s score) bool { return s.index == i }) {
-			list = append(list, m)
+			members = append(members, m)
 		}
 	}
-	return list
+	return members
 }
 
 // IsWatcher reports whether self is one of the Watchers, even if it is not in the list of live members yet.
--- a/internal/host/news.go
+++ b/internal/host/news.go
@@ -36,9 +36,9 @@
 // hash returns the member's MemberHash.
 func (m Member) hash() MemberHash {
 	d := xxhash.New()
-	for _, text := range []string{m.Name, m.Listen, m.Inner, m.Domain, m.Region} {
+	for _, field := range []string{m.Name, m.Listen, m.Inner, m.Domain, m.Region} {
 		// Writes to a hash never return an error.
-		_, _ = d.WriteString(text)
+		_, _ = d.WriteString(field)
 		_, _ = d.Write([]byte{0})
 	}
 	for _, w := range m.Wants {
@@ -107,9 +107,9 @@
 	}
 	reply := Gossip{Unknown: unknown}
 	for _, p := range t.newestPeers() {
-		beat, known := received[p.hash]
+		beat, found := received[p.hash]
 		switch {
-		case !known:
+		case !found:
 			reply.Members = append(reply.Members, p.member)
 		case p.member.Beat > beat:
 			reply.Digests = append(reply.Digests, Digest{p.hash, p.member.Beat})
@@ -144,9 +144,9 @@
 	byHash[t.self.hash()] = nil
 	var unknown []MemberHash
 	for _, digest := range digests {
-		p, known := byHash[digest.Hash]
+		p, found := byHash[digest.Hash]
 		switch {
-		case !known:
+		case !found:
 			unknown = append(unknown, digest.Hash)
 		case p != nil && digest.Beat > p.member.Beat:
 			m := p.member
--- a/internal/host/table.go
+++ b/internal/host/table.go
@@ -185,21 +185,21 @@
 		}
 		byDomain[p.member.Domain] = append(byDomain[p.member.Domain], p.member.Inner)
 	}
-	var list []string
+	var addresses []string
 	for _, domain := range sortedKeys(byDomain) {
 		count := 1
 		if domain == t.self.Domain {
 			count = t.config.DomainFanOut
 		}
-		list = append(list, t.sample(byDomain[domain], count)...)
+		addresses = append(addresses, t.sample(byDomain[domain], count)...)
 	}
-	list = append(list, t.sample(dead, 1)...)
-	if len(list) == 0 || t.self.Beat%seedContactRounds == 0 {
-		list = append(list, t.sample(t.config.Seeds, 2)...)
-		list = append(list, t.sample(t.hostListAddresses, 2)...)
+	addresses = append(addresses, t.sample(dead, 1)...)
+	if len(addresses) == 0 || t.self.Beat%seedContactRounds == 0 {
+		addresses = append(addresses, t.sample(t.config.Seeds, 2)...)
+		addresses = append(addresses, t.sample(t.hostListAddresses, 2)...)
 	}
-	slices.Sort(list)
-	return slices.DeleteFunc(slices.Compact(list), func(a string) bool { return a == t.self.Inner })
+	slices.Sort(addresses)
+	return slices.DeleteFunc(slices.Compact(addresses), func(a string) bool { return a == t.self.Inner })
 }
 
 func (t *MemberTable) peerNames() []string {
@@ -221,10 +221,10 @@
 }
 
 // sample returns up to count random elements of a list.
-func (t *MemberTable) sample(list []string, count int) []string {
-	list = slices.Clone(list)
-	t.config.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(count, len(list))]
+func (t *MemberTable) sample(addresses []string, count int) []string {
+	addresses = slices.Clone(addresses)
+	t.config.Random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	return addresses[:min(count, len(addresses))]
 }
 
 // deadTimeout returns how long a member may go without a new heartbeat before it counts as dead. It grows with the
@@ -265,8 +265,8 @@
 // mergeMember updates the table from the state of one member; direct is set if the member itself sent it. A lower
 // incarnation replaces a dead higher one only if it is direct, since other hosts may still gossip outdated state.
 func (t *MemberTable) mergeMember(now time.Duration, m Member, direct bool) {
-	p, known := t.peers[m.Name]
-	if !known {
+	p, found := t.peers[m.Name]
+	if !found {
 		t.peers[m.Name] = &peer{member: m, hash: m.hash(), lastAdvance: now, stateChanged: now}
 		t.events = append(t.events, Event{Joined, m})
 		t.discovered = true
@@ -363,8 +363,8 @@
 	if name == t.self.Name {
 		return t.self, true
 	}
-	p, known := t.peers[name]
-	if !known {
+	p, found := t.peers[name]
+	if !found {
 		return Member{}, false
 	}
 	return p.member, true
@@ -374,13 +374,13 @@
 func (t *MemberTable) Peers() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []Member
+	var members []Member
 	for _, name := range t.peerNames() {
 		if p := t.peers[name]; !p.dead {
-			list = append(list, p.member)
+			members = append(members, p.member)
 		}
 	}
-	return list
+	return members
 }
 
 // DrainEvents returns the events since the last call.
--- a/internal/host/table_test.go
+++ b/internal/host/table_test.go
@@ -58,8 +58,8 @@
 				table.BeginRound(now)
 			}
 			table.Merge(now, c.sender, Gossip{Members: []Member{c.member}})
-			m, known := table.Find("y")
-			is.True(known)
+			m, found := table.Find("y")
+			is.True(found)
 			is.Equal(m.Incarnation, c.want)
 		})
 	}
@@ -87,11 +87,11 @@
 func TestDigestsCarryOnlyUpdates(t *testing.T) {
 	is := is.New(t)
 	a, b := newTable("a"), newTable("b")
-	var known []Member
+	var members []Member
 	for i := range 5 {
-		known = append(known, Member{Name: fmt.Sprint(i), Inner: fmt.Sprint(i), Incarnation: 1, Beat: 7, Ready: true})
+		members = append(members, Member{Name: fmt.Sprint(i), Inner: fmt.Sprint(i), Incarnation: 1, Beat: 7, Ready: true})
 	}
-	a.Merge(0, "", Gossip{Members: known})
+	a.Merge(0, "", Gossip{Members: members})
 	now := 10 * time.Second
 	reply := b.HandleGossip(now, "a", a.OutgoingGossip(now))
 	is.Equal(len(reply.Unknown), 5)      // b knows none of the digests
@@ -99,9 +99,9 @@
 	reply = b.HandleGossip(now, "a", a.FullGossip(reply.Unknown))
 	is.Equal(len(b.Peers()), 6)
 	is.Equal(len(reply.Unknown), 0)
-	b.Merge(now, "", Gossip{Digests: []Digest{{known[0].hash(), 9}}})
+	b.Merge(now, "", Gossip{Digests: []Digest{{members[0].hash(), 9}}})
 	reply = b.HandleGossip(now+5*time.Second, "a", a.OutgoingGossip(now+5*time.Second))
-	is.Equal(reply.Digests, []Digest{{known[0].hash(), 9}}) // only the newer heartbeat
+	is.Equal(reply.Digests, []Digest{{members[0].hash(), 9}}) // only the newer heartbeat
 	is.Equal(a.Merge(now, "b", reply), nil)
 	m, _ := a.Find("0")
 	is.Equal(m.Beat, uint64(9))
@@ -169,18 +169,18 @@
 	is := is.New(t)
 	live := members(60)
 	for _, perDomain := range []int{1, 2} {
-		list := Watchers(live, perDomain)
-		is.Equal(len(list), 3*perDomain)
+		watchers := Watchers(live, perDomain)
+		is.Equal(len(watchers), 3*perDomain)
 		selected := map[string]bool{}
-		for _, m := range list {
+		for _, m := range watchers {
 			selected[m.Name] = true
 		}
 		for _, m := range live {
 			is.Equal(IsWatcher(m, live, perDomain), selected[m.Name])
 		}
-		without := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Name == list[0].Name })
+		remaining := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Name == watchers[0].Name })
 		unchanged := 0
-		for _, m := range Watchers(without, perDomain) {
+		for _, m := range Watchers(remaining, perDomain) {
 			if selected[m.Name] {
 				unchanged++
 			}
--- a/internal/inner/members.go
+++ b/internal/inner/members.go
@@ -4,76 +4,76 @@
 
 // EncodeMembers converts members to wire messages.
 func EncodeMembers(members []host.Member) []*Member {
-	list := make([]*Member, 0, len(members))
+	encoded := make([]*Member, 0, len(members))
 	for _, m := range members {
-		list = append(list, &Member{
+		encoded = append(encoded, &Member{
 			Name: m.Name, Listen: m.Listen, Inner: m.Inner, Domain: m.Domain, Region: m.Region, Incarnation: m.Incarnation,
 			Beat: m.Beat, Leaving: m.Leaving, Note: int64(m.Note), Ready: m.Ready, Wants: encodeWants(m.Wants), StoreLost: m.StoreLost,
 		})
 	}
-	return list
+	return encoded
 }
 
 // DecodeMembers converts wire messages to members.
 func DecodeMembers(members []*Member) []host.Member {
-	list := make([]host.Member, 0, len(members))
+	decoded := make([]host.Member, 0, len(members))
 	for _, m := range members {
-		list = append(list, host.Member{
+		decoded = append(decoded, host.Member{
 			Name: m.Name, Listen: m.Listen, Inner: m.Inner, Domain: m.Domain, Region: m.Region, Incarnation: m.Incarnation,
 			Beat: m.Beat, Leaving: m.Leaving, Note: int(m.Note), Ready: m.Ready, Wants: decodeWants(m.Wants), StoreLost: m.StoreLost,
 		})
 	}
-	return list
+	return decoded
 }
 
 func encodeWants(wants []host.HomeDemand) []*Want {
-	var list []*Want
+	var encoded []*Want
 	for _, w := range wants {
-		list = append(list, &Want{Service: w.Service, Homes: uint32(w.Homes)})
+		encoded = append(encoded, &Want{Service: w.Service, Homes: uint32(w.Homes)})
 	}
-	return list
+	return encoded
 }
 
 func decodeWants(wants []*Want) []host.HomeDemand {
-	var list []host.HomeDemand
+	var decoded []host.HomeDemand
 	for _, w := range wants {
-		list = append(list, host.HomeDemand{Service: w.Service, Homes: int(w.Homes)})
+		decoded = append(decoded, host.HomeDemand{Service: w.Service, Homes: int(w.Homes)})
 	}
-	return list
+	return decoded
 }
 
 // EncodeDigests converts member digests to wire messages; a digest is called a pulse on the wire.
 func EncodeDigests(digests []host.Digest) []*Pulse {
-	list := make([]*Pulse, 0, len(digests))
+	encoded := make([]*Pulse, 0, len(digests))
 	for _, d := range digests {
-		list = append(list, &Pulse{Id: uint32(d.Hash), Beat: d.Beat})
+		encoded = append(encoded, &Pulse{Id: uint32(d.Hash), Beat: d.Beat})
 	}
-	return list
+	return encoded
 }
 
 // DecodeDigests converts wire messages to member digests.
 func DecodeDigests(pulses []*Pulse) []host.Digest {
-	list := make([]host.Digest, 0, len(pulses))
+	decoded := make([]host.Digest, 0, len(pulses))
 	for _, p := range pulses {
-		list = append(list, host.Digest{Hash: host.MemberHash(p.Id), Beat: p.Beat})
+		decoded = append(decoded, host.Digest{Hash: host.MemberHash(p.Id), Beat: p.Beat})
 	}
-	return list
+	return decoded
 }
 
 // EncodeMemberHashes converts the hashes of digests that match no known member to their wire form.
 func EncodeMemberHashes(hashes []host.MemberHash) []uint32 {
-	list := make([]uint32, 0, len(hashes))
+	encoded := make([]uint32, 0, len(hashes))
 	for _, hash := range hashes {
-		list = append(list, uint32(hash))
+		encoded = append(encoded, uint32(hash))
 	}
-	return list
+	return encoded
 }
 
 // DecodeMemberHashes converts the hashes of digests that match no known member from their wire form.
 func DecodeMemberHashes(hashes []uint32) []host.MemberHash {
-	list := make([]host.MemberHash, 0, len(hashes))
+	decoded := make([]host.MemberHash, 0, len(hashes))
 	for _, hash := range hashes {
-		list = append(list, host.MemberHash(hash))
+		decoded = append(decoded, host.MemberHash(hash))
 	}
-	return list
+	return decoded
 }
--- a/internal/measure/control.go
+++ b/internal/measure/control.go
@@ -34,19 +34,19 @@
 		}
 	}
 	sleep(ctx, duration)
-	var list []IdleUsage
+	var usages []IdleUsage
 	for i, host := range hosts {
 		after, err := processStatus(ctx, host)
 		if err != nil {
 			return nil, err
 		}
 		seconds := (after.Uptime - before[i].Uptime).Seconds()
-		list = append(list, IdleUsage{
+		usages = append(usages, IdleUsage{
 			Host: host, CoreShare: (after.Core - before[i].Core).Seconds() / seconds,
 			SentPerSec:     float64(after.InnerSent-before[i].InnerSent) / seconds,
 			ReceivedPerSec: float64(after.InnerReceived-before[i].InnerReceived) / seconds,
 			HeapBytes:      after.HeapBytes, SystemBytes: after.SystemBytes, Goroutines: after.Goroutines,
 		})
 	}
-	return list, nil
+	return usages, nil
 }
--- a/internal/meter/histogram.go
+++ b/internal/meter/histogram.go
@@ -74,18 +74,18 @@
 func (h *Histograms) Summaries() []Summary {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	var list []Summary
+	var summaries []Summary
 	for k, g := range h.byKey {
 		g.mu.Lock()
-		list = append(list, Summary{
+		summaries = append(summaries, Summary{
 			Service: k.Service, Class: k.Class, Count: g.histogram.TotalCount(),
 			P50: g.histogram.ValueAtQuantile(50), P99: g.histogram.ValueAtQuantile(99),
 			P999: g.histogram.ValueAtQuantile(99.9), Max: g.histogram.Max(),
 		})
 		g.mu.Unlock()
 	}
-	slices.SortFunc(list, func(a, b Summary) int {
+	slices.SortFunc(summaries, func(a, b Summary) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class))
 	})
-	return list
+	return summaries
 }
--- a/internal/model/loads.go
+++ b/internal/model/loads.go
@@ -26,11 +26,11 @@
 // Workloads returns the workloads of the experiments. For each service they are low and high load, overload by factors of
 // 2 and 5, a burst of overload, slow servers and servers that drop responses.
 func Workloads() []Workload {
-	var list []Workload
+	var workloads []Workload
 	add := func(w Workload, suffix string, change func(*Workload)) {
 		w.Name += "-" + suffix
 		change(&w)
-		list = append(list, w)
+		workloads = append(workloads, w)
 	}
 	for _, base := range []Workload{StockWorkload(), LookupWorkload()} {
 		add(base, "calm", func(w *Workload) { w.OfferedLoad = 0.4 })
@@ -45,7 +45,7 @@
 			w.Fault, w.FaultShare, w.FaultFrom, w.FaultUntil = Mute, 0.25, 8*time.Second, 20*time.Second
 		})
 	}
-	return list
+	return workloads
 }
 
 // Policies returns the policies that the experiments compare, the ideal one first.
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -124,13 +124,13 @@
 }
 
 func newServers(sim *simulation) []*server {
-	var list []*server
+	var servers []*server
 	for i := range sim.workload.Targets {
 		s := &server{sim: sim, name: fmt.Sprintf("t%02d", i), index: i}
 		s.redrawPace()
-		list = append(list, s)
+		servers = append(servers, s)
 	}
-	return list
+	return servers
 }
 
 // drawServiceTime returns a random service time on an undisturbed server, in seconds. The term -sigma²/2 makes the mean
--- a/internal/note/archive.go
+++ b/internal/note/archive.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-func decode(text []byte, target any) error {
-	if err := json.Unmarshal(text, target); err != nil {
+func decode(encoded []byte, target any) error {
+	if err := json.Unmarshal(encoded, target); err != nil {
 		return ErrChain.New("the store holds a value that is not a record (%v); restore the key", err)
 	}
 	return nil
--- a/internal/note/chain_test.go
+++ b/internal/note/chain_test.go
@@ -31,14 +31,14 @@
 }
 
 func (s *fakeStore) sortedEntries(prefix, from string) []platform.Entry {
-	var list []platform.Entry
+	var entries []platform.Entry
 	for key, value := range s.keys {
 		if strings.HasPrefix(key, prefix) && key >= from {
-			list = append(list, platform.Entry{Key: key, Value: value})
+			entries = append(entries, platform.Entry{Key: key, Value: value})
 		}
 	}
-	slices.SortFunc(list, func(a, b platform.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return list
+	slices.SortFunc(entries, func(a, b platform.Entry) int { return strings.Compare(a.Key, b.Key) })
+	return entries
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (platform.Entry, bool, error) {
@@ -47,16 +47,16 @@
 }
 
 func (s *fakeStore) Range(_ context.Context, prefix, from string, limit int) ([]platform.Entry, error) {
-	list := s.sortedEntries(prefix, from)
-	return list[:min(limit, len(list))], nil
+	entries := s.sortedEntries(prefix, from)
+	return entries[:min(limit, len(entries))], nil
 }
 
 func (s *fakeStore) Last(_ context.Context, prefix string) (platform.Entry, bool, error) {
-	list := s.sortedEntries(prefix, "")
-	if len(list) == 0 {
+	entries := s.sortedEntries(prefix, "")
+	if len(entries) == 0 {
 		return platform.Entry{}, false, nil
 	}
-	return list[len(list)-1], true, nil
+	return entries[len(entries)-1], true, nil
 }
 
 func (s *fakeStore) Create(_ context.Context, key string, value []byte, _ platform.LeaseID) (platform.CreateResult, error) {
@@ -184,7 +184,7 @@
 
 func TestParseErrorsNameLineAndRemedy(t *testing.T) {
 	head := "[Note]\nFollows = 0\nOperator = o\nReason = r\n"
-	cases := []struct{ name, text, want string }{
+	cases := []struct{ name, content, want string }{
 		{"unknown key", head + "[Service s]\nQueue = 3\n", "n.ini:6: section [Service s] key Queue is unknown; allowed keys: QueueLimit"},
 		{"bad number", head + "[Service s]\nHomes = two\n", "n.ini:6: section [Service s] key Homes has value \"two\"; write a whole number"},
 		{"bad duration", head + "[Rule r]\nPath = /\nService = s\nDeadline = soon\n", "n.ini:8: section [Rule r] key Deadline has value \"soon\"; write a duration"},
@@ -202,7 +202,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("n.ini", []byte(c.text))
+			_, err := Parse("n.ini", []byte(c.content))
 			if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "section [Note] is", "[Note] is"), c.want) {
 				t.Fatalf("got %v, want %q", err, c.want)
 			}
--- a/internal/note/configuration.go
+++ b/internal/note/configuration.go
@@ -90,7 +90,7 @@
 			return ErrInvalid.New("Target %q names service %q, which is not in the configuration; add [Service %s] or withdraw the target",
 				t.Name, t.Service, t.Service)
 		}
-		if other, taken := addresses[t.Address]; taken {
+		if other, found := addresses[t.Address]; found {
 			return ErrInvalid.New("Target %q and Target %q share the address %s; give each its own", other, t.Name, t.Address)
 		}
 		addresses[t.Address] = t.Name
@@ -166,10 +166,10 @@
 func (c Configuration) Hash() string { return hash(c) }
 
 func hash(value any) string {
-	text, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		panic(errorx.Panic(errorx.Decorate(err, "a configuration or record cannot be marshaled to JSON")))
 	}
-	sum := sha256.Sum256(text)
+	sum := sha256.Sum256(encoded)
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/note/diff.go
+++ b/internal/note/diff.go
@@ -51,9 +51,9 @@
 	return strings.Join(parts, "; ")
 }
 
-func entryNames[T any](list []T, name func(T) string) []string {
+func entryNames[T any](entries []T, name func(T) string) []string {
 	var result []string
-	for _, t := range list {
+	for _, t := range entries {
 		result = append(result, name(t))
 	}
 	return result
--- a/internal/note/parse.go
+++ b/internal/note/parse.go
@@ -22,9 +22,9 @@
 
 // Parse parses a release note in INI format; file is the name used in errors, which are document.ErrSyntax or
 // document.ErrField.
-func Parse(file string, text []byte) (Note, error) {
+func Parse(file string, content []byte) (Note, error) {
 	var n Note
-	d, err := document.Parse(file, text)
+	d, err := document.Parse(file, content)
 	if err != nil {
 		return n, err
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -230,8 +230,8 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
-		return ErrHostRequest.New("the host responded with %s %s", response.Status, strings.TrimSpace(string(text)))
+		body, _ := io.ReadAll(io.LimitReader(response.Body, 512))
+		return ErrHostRequest.New("the host responded with %s %s", response.Status, strings.TrimSpace(string(body)))
 	}
 	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
 		return ErrHostRequest.New("cannot decode the response of the host: %v", err)
--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -8,7 +8,7 @@
 
 // WriteJSON writes a response with the status code and the value as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
-	text, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -16,5 +16,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// This fails only if the client has closed the connection, so there is nobody to report the error to.
-	_, _ = w.Write(append(text, '\n'))
+	_, _ = w.Write(append(encoded, '\n'))
 }
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -90,10 +90,10 @@
 func (h *Home) SetRetrySlack(slack float64) { h.config.Budget.Slack = slack }
 
 // SetTargets replaces the list of targets. A target with the same name, incarnation and address keeps its state.
-func (h *Home) SetTargets(now time.Duration, list []Target) {
-	next := make([]*targetState, 0, len(list))
-	byName := make(map[string]*targetState, len(list))
-	for _, registered := range list {
+func (h *Home) SetTargets(now time.Duration, targets []Target) {
+	next := make([]*targetState, 0, len(targets))
+	byName := make(map[string]*targetState, len(targets))
+	for _, registered := range targets {
 		t := h.byName[registered.Name]
 		if t == nil || t.Incarnation != registered.Incarnation || t.Address != registered.Address {
 			t = &targetState{Target: registered, warmUpUntil: now + registered.WarmUpLeft, paceAt: -time.Hour, loadAt: -time.Hour, failureRateAt: -time.Hour, probe: probeState{sentAt: -time.Hour}}
@@ -286,9 +286,9 @@
 }
 
 // pickTarget returns the target with the lowest expected duration, adjusted for load and for traffic between failure
-// domains, and the estimate for a run there. It considers available targets with a free slot that are not in skip, and
-// returns nil if there is none.
-func (h *Home) pickTarget(now time.Duration, r *Request, skip []string) (*targetState, runEstimate) {
+// domains, and the estimate for a run there. It considers available targets with a free slot that are not in excluded,
+// and returns nil if there is none.
+func (h *Home) pickTarget(now time.Duration, r *Request, excluded []string) (*targetState, runEstimate) {
 	var best *targetState
 	var chosen runEstimate
 	score := math.Inf(1)
@@ -299,7 +299,7 @@
 	serviceTime := float64(h.serviceTime(r))
 	for i := range h.targets {
 		t := h.targets[(start+i)%len(h.targets)]
-		if !t.available(now) || t.load(now) >= t.Slots || slices.Contains(skip, t.Name) {
+		if !t.available(now) || t.load(now) >= t.Slots || slices.Contains(excluded, t.Name) {
 			continue
 		}
 		factor, nearlyFull := t.slowdown(now, h.averagePace, h.nearlyFullSlowdown)
--- a/internal/placement/home_test.go
+++ b/internal/placement/home_test.go
@@ -58,11 +58,11 @@
 
 // lastVerdict returns the latest verdict on a request, or nil.
 func (f *testHome) lastVerdict(number uint64) Verdict {
-	list := f.verdicts[number]
-	if len(list) == 0 {
+	verdicts := f.verdicts[number]
+	if len(verdicts) == 0 {
 		return nil
 	}
-	return list[len(list)-1]
+	return verdicts[len(verdicts)-1]
 }
 
 // placedOn returns the target of a request, or "" if it is not placed.
@@ -306,9 +306,9 @@
 func TestWarmUpEnds(t *testing.T) {
 	is := is.New(t)
 	f := newTestHome(1, ampleBudget)
-	list := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
+	targets := []Target{{Name: "new", Address: "10.0.0.2:80", Slots: 3, WarmUpLeft: time.Second}}
 	for range 20 {
-		f.home.SetTargets(f.now, list)
+		f.home.SetTargets(f.now, targets)
 		f.now += 100 * time.Millisecond
 	}
 	is.True(f.home.byName["new"].warmUpUntil < f.now)
@@ -333,8 +333,8 @@
 		is.True(x.probe.sentAt < before)
 		is.True(x.probe.down)
 	}
-	again := f.submit(nil)
-	is.Equal(f.lastVerdict(again), Queued{}) // it waits for the results of probes
+	second := f.submit(nil)
+	is.Equal(f.lastVerdict(second), Queued{}) // it waits for the results of probes
 	is.Equal(len(f.home.DueProbes(f.now)), 3)
 }
 
@@ -374,10 +374,10 @@
 		}
 		for _, m := range history {
 			requests, extraAttempts := sum(m.at)
-			before, _ := sum(m.at - b.Window)
-			half, _ := sum(m.at - b.Window/2)
-			if float64(extraAttempts) > b.Ratio*float64(max(requests, before, half))+b.Slack {
-				t.Fatalf("%d extra attempts for %d requests in the window that ends at %v", extraAttempts, max(requests, before, half), m.at)
+			requestsBefore, _ := sum(m.at - b.Window)
+			requestsHalfway, _ := sum(m.at - b.Window/2)
+			if float64(extraAttempts) > b.Ratio*float64(max(requests, requestsBefore, requestsHalfway))+b.Slack {
+				t.Fatalf("%d extra attempts for %d requests in the window that ends at %v", extraAttempts, max(requests, requestsBefore, requestsHalfway), m.at)
 			}
 		}
 	})
@@ -451,11 +451,11 @@
 	for range 6 {
 		is.True(f.placedOn(f.submit(nil)) != "")
 	}
-	list := []Target{{Name: "new", Address: "10.0.0.2:80", Domain: "a", Slots: 3, WarmUpLeft: 3 * time.Second}}
+	targets := []Target{{Name: "new", Address: "10.0.0.2:80", Domain: "a", Slots: 3, WarmUpLeft: 3 * time.Second}}
 	for _, x := range f.home.targets {
-		list = append(list, x.Target)
+		targets = append(targets, x.Target)
 	}
-	f.home.SetTargets(f.now, list)
+	f.home.SetTargets(f.now, targets)
 	f.home.RecordProbe(f.now, "new", ProbeHealthy, &LoadReport{Slots: 3, Pace: 2})
 	is.Equal(f.placedOn(f.submit(nil)), "new") // expected to take 180 ms, with a goal of 250 ms
 }
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -38,8 +38,8 @@
 	// sentAt is when the last probe was sent. pending is set until its result is recorded.
 	sentAt  time.Duration
 	pending bool
-	// wanted is set when a queued request waits for a probe of the target.
-	wanted bool
+	// awaited is set when a queued request waits for a probe of the target.
+	awaited bool
 	// credit is the number of probes that the rate limit allowed at creditAt.
 	credit   float64
 	creditAt time.Duration
@@ -82,13 +82,13 @@
 		if !h.primary && h.probeCredit < 1 {
 			break
 		}
-		if t.probe.pending || t.Draining || !t.probe.wanted && !h.probeDue(now, t) || !t.probe.spend(now) {
+		if t.probe.pending || t.Draining || !t.probe.awaited && !h.probeDue(now, t) || !t.probe.spend(now) {
 			continue
 		}
 		if !h.primary {
 			h.probeCredit--
 		}
-		t.probe.sentAt, t.probe.pending, t.probe.wanted = now, true, false
+		t.probe.sentAt, t.probe.pending, t.probe.awaited = now, true, false
 		due = append(due, Placed{Target: t.Name, Address: t.Address})
 	}
 	return due
@@ -138,14 +138,14 @@
 	if now-r.submittedAt >= maxProbeWait || now-best.paceAt < maxPaceAge || best.probe.sentAt >= r.submittedAt && !best.probe.pending {
 		return false
 	}
-	skip := slices.Clone(r.Tried)
+	excluded := slices.Clone(r.Tried)
 	for range targetsProbedAtOnce {
-		t, _ := h.pickTarget(now, r, skip)
+		t, _ := h.pickTarget(now, r, excluded)
 		if t == nil {
 			break
 		}
-		skip = append(skip, t.Name)
-		t.probe.wanted = !t.probe.pending && now-t.paceAt >= maxPaceAge
+		excluded = append(excluded, t.Name)
+		t.probe.awaited = !t.probe.pending && now-t.paceAt >= maxPaceAge
 	}
 	return true
 }
--- a/internal/record/serve.go
+++ b/internal/record/serve.go
@@ -11,9 +11,9 @@
 // JSON; both parameters are optional.
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since := time.Time{}
-	if text := r.URL.Query().Get("Since"); text != "" {
+	if value := r.URL.Query().Get("Since"); value != "" {
 		var err error
-		if since, err = time.Parse(time.RFC3339, text); err != nil {
+		if since, err = time.Parse(time.RFC3339, value); err != nil {
 			http.Error(w, "Since is not a time; write it as 2006-01-02T15:04:05Z", http.StatusBadRequest)
 			return
 		}
--- a/internal/record/timeline.go
+++ b/internal/record/timeline.go
@@ -43,7 +43,7 @@
 // in its configuration, or no longer holds the record.
 func Timeline(records []Record, target string, period TimeRange) []Interval {
 	current := map[timelineKey]Interval{}
-	var list []Interval
+	var intervals []Interval
 	sorted := slices.Clone(records)
 	Sort(sorted)
 	for _, r := range sorted {
@@ -53,7 +53,7 @@
 		key := timelineKey{r.Host, r.Incarnation, r.Target}
 		if previous, found := current[key]; found {
 			previous.To = r.Time
-			list = append(list, previous)
+			intervals = append(intervals, previous)
 			delete(current, key)
 		}
 		if r.Kind == TargetMoved {
@@ -65,26 +65,26 @@
 	}
 	for _, interval := range current {
 		interval.To = period.To
-		list = append(list, interval)
+		intervals = append(intervals, interval)
 	}
-	return clip(list, period)
+	return clip(intervals, period)
 }
 
 // clip cuts intervals to a period, drops those outside and sorts the rest by host and time.
-func clip(list []Interval, period TimeRange) []Interval {
-	list = slices.DeleteFunc(list, func(i Interval) bool { return !i.From.Before(period.To) || !i.To.After(period.From) })
-	for i := range list {
-		if list[i].From.Before(period.From) {
-			list[i].From = period.From
+func clip(intervals []Interval, period TimeRange) []Interval {
+	intervals = slices.DeleteFunc(intervals, func(i Interval) bool { return !i.From.Before(period.To) || !i.To.After(period.From) })
+	for i := range intervals {
+		if intervals[i].From.Before(period.From) {
+			intervals[i].From = period.From
 		}
-		if list[i].To.After(period.To) {
-			list[i].To = period.To
+		if intervals[i].To.After(period.To) {
+			intervals[i].To = period.To
 		}
 	}
-	slices.SortFunc(list, func(a, b Interval) int {
+	slices.SortFunc(intervals, func(a, b Interval) int {
 		return cmp.Or(cmp.Compare(a.Host, b.Host), a.From.Compare(b.From), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	return list
+	return intervals
 }
 
 // Eligibility is how long a target could get new requests from one host.
@@ -109,10 +109,10 @@
 			e.Eligible += i.Duration()
 		}
 	}
-	var list []Eligibility
+	var eligibilities []Eligibility
 	for _, e := range byHost {
-		list = append(list, *e)
+		eligibilities = append(eligibilities, *e)
 	}
-	slices.SortFunc(list, func(a, b Eligibility) int { return cmp.Compare(a.Host, b.Host) })
-	return list
+	slices.SortFunc(eligibilities, func(a, b Eligibility) int { return cmp.Compare(a.Host, b.Host) })
+	return eligibilities
 }
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -24,7 +24,7 @@
 type plot struct {
 	Width, Height int
 	Rows          []row
-	Marks         []mark
+	Marks         []axisMark
 }
 
 // row is the timeline of one target as one host saw it.
@@ -44,8 +44,8 @@
 	Title     string
 }
 
-// mark is a time label on the axis.
-type mark struct {
+// axisMark is a time label on the axis.
+type axisMark struct {
 	X    float64
 	Text string
 }
@@ -89,12 +89,12 @@
 const timeOfDayLayout = "15:04:05.000"
 
 // newMarks returns evenly spaced marks, the first at the start of the period.
-func newMarks(s record.TimeRange, scale float64) []mark {
-	var list []mark
+func newMarks(s record.TimeRange, scale float64) []axisMark {
+	var marks []axisMark
 	step := s.To.Sub(s.From) / axisMarkCount
 	for n := range axisMarkCount {
 		at := s.From.Add(time.Duration(n) * step)
-		list = append(list, mark{labelWidth + at.Sub(s.From).Seconds()*scale, at.UTC().Format("15:04:05")})
+		marks = append(marks, axisMark{labelWidth + at.Sub(s.From).Seconds()*scale, at.UTC().Format("15:04:05")})
 	}
-	return list
+	return marks
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -19,7 +19,7 @@
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 12, 3, 20, 0, 0, 0, time.UTC)
-	moved := func(seconds int, to, cause string) record.Record {
+	stateChange := func(seconds int, to, cause string) record.Record {
 		return record.Record{
 			Time: start.Add(time.Duration(seconds) * time.Second), Host: "entry-1", Kind: record.TargetMoved, Service: "s", Target: "t", To: to, Cause: cause,
 		}
@@ -35,7 +35,7 @@
 		Verification: operator.Verification{Number: 2, Findings: []operator.Finding{{Host: "entry-1", Agrees: true}, {Host: "odd", Detail: "has note 1 in force; the newest is 2"}}},
 		Hosts:        []operator.HostStatus{status("entry-1", 3), status("entry-2", 4)},
 		Explanation: operator.Explanation{Records: []record.Record{
-			moved(-50, "Live", "AddedByNote"), moved(40, "Ejected", "FailuresInARow"), moved(60, "Ramping", "EjectionEnded"),
+			stateChange(-50, "Live", "AddedByNote"), stateChange(40, "Ejected", "FailuresInARow"), stateChange(60, "Ramping", "EjectionEnded"),
 			{Time: start, Host: "entry-1", Kind: record.NoteAdopted, Note: 2, Evidence: record.Evidence{Detail: "<script>alert(1)</script>", Hash: "0123456789abcdef"}},
 		}},
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -234,8 +234,8 @@
 			v.PeerAddresses[key] = decoded.Inner
 		}
 	}
-	for _, list := range v.Targets {
-		slices.SortFunc(list, func(a, b Target) int { return cmp.Compare(a.Name, b.Name) })
+	for _, targets := range v.Targets {
+		slices.SortFunc(targets, func(a, b Target) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	return v
 }
@@ -245,13 +245,13 @@
 func (r *Roster) AllChanges() ([]platform.Change, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]platform.Change, 0, len(r.entries))
+	changes := make([]platform.Change, 0, len(r.entries))
 	for _, state := range r.entries {
-		list = append(list, state.change)
+		changes = append(changes, state.change)
 	}
 	if state := r.entries[r.configurationChange.Key]; state != nil && state.change.Revision != r.configurationChange.Revision {
-		list = append(list, r.configurationChange)
+		changes = append(changes, r.configurationChange)
 	}
-	slices.SortFunc(list, func(a, b platform.Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	return list, r.revision
+	slices.SortFunc(changes, func(a, b platform.Change) int { return cmp.Compare(a.Revision, b.Revision) })
+	return changes, r.revision
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -173,9 +173,9 @@
 }
 
 func indexes(n int) []int {
-	var list []int
+	var numbers []int
 	for i := range n {
-		list = append(list, i)
+		numbers = append(numbers, i)
 	}
-	return list
+	return numbers
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -154,17 +154,17 @@
 
 // Load reads and checks a settings file; errors are ErrFile, document.ErrSyntax or document.ErrField.
 func Load(file string) (Settings, error) {
-	text, err := os.ReadFile(file)
+	content, err := os.ReadFile(file)
 	if err != nil {
 		return Settings{}, ErrFile.New("cannot read the settings: %v; name a readable INI file", err)
 	}
-	return Parse(file, text)
+	return Parse(file, content)
 }
 
 // Parse parses and checks settings; file is the name used in errors, which are document.ErrSyntax or document.ErrField.
-func Parse(file string, text []byte) (Settings, error) {
+func Parse(file string, content []byte) (Settings, error) {
 	s := Default()
-	d, err := document.Parse(file, text)
+	d, err := document.Parse(file, content)
 	if err != nil {
 		return s, err
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestParseErrorsNameFileSectionKeyAndRemedy(t *testing.T) {
-	cases := []struct{ name, text, want string }{
+	cases := []struct{ name, content, want string }{
 		{"unknown key", minimalSettings + "[Limits]\nKept = 3\n", "h.ini:9: section [Limits] key Kept is unknown; allowed keys: HeaderBytes"},
 		{"unknown section", minimalSettings + "[Limit]\nx = 1\n", "h.ini:8: section [Limit] is unknown; allowed sections: Host, Platform"},
 		{"bad duration", minimalSettings + "[Limits]\nStopTimeout = 5\n", "key StopTimeout has value \"5\"; write a duration"},
@@ -35,7 +35,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("h.ini", []byte(c.text))
+			_, err := Parse("h.ini", []byte(c.content))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("got %v, want %q", err, c.want)
 			}
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -45,16 +45,16 @@
 		case <-c.Reload:
 		case <-ticker.C:
 		}
-		text, err := os.ReadFile(c.File)
-		if err == nil && bytes.Equal(text, last) {
+		content, err := os.ReadFile(c.File)
+		if err == nil && bytes.Equal(content, last) {
 			continue
 		}
-		last = text
+		last = content
 		if err != nil {
 			c.OnRejected(ErrFile.New("cannot read the settings: %v; the current ones stay in force", err))
 			continue
 		}
-		s, err := Parse(c.File, text)
+		s, err := Parse(c.File, content)
 		if err != nil {
 			c.OnRejected(err)
 			continue
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -20,7 +20,7 @@
 	file := filepath.Join(t.TempDir(), "settings.ini")
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		write := func(text string) { is.NoErr(os.WriteFile(file, []byte(text), 0o600)) }
+		write := func(content string) { is.NoErr(os.WriteFile(file, []byte(content), 0o600)) }
 		write(validSettings + "127.0.0.1:4\n")
 		ctx, cancel := context.WithCancel(context.Background())
 		reload := make(chan os.Signal, 1)
--- a/internal/steering/probe.go
+++ b/internal/steering/probe.go
@@ -27,11 +27,11 @@
 // Probes returns the probes that are due: of targets whose latency has not been measured and that have not been probed
 // for probeIdleTime, such as idle, ejected and draining ones, as far as the probe credit of their service allows.
 func (d *Dispatcher) Probes() []Probe {
-	var list []Probe
+	var probes []Probe
 	for _, service := range d.Services() {
-		list = append(list, service.probes()...)
+		probes = append(probes, service.probes()...)
 	}
-	return list
+	return probes
 }
 
 func (s *Service) probes() []Probe {
@@ -41,7 +41,7 @@
 		return nil
 	}
 	now := s.dispatcher.config.Clock()
-	var list []Probe
+	var probes []Probe
 	for name, pool := range s.pools {
 		i := s.admission.Router().Lookup(name)
 		if i == route.NoTarget || now-s.admission.Router().LastObserved(i) < probeIdleTime || s.probeCredit < 1 {
@@ -49,9 +49,9 @@
 		}
 		s.probeCredit--
 		s.admission.Router().MarkProbed(now, i)
-		list = append(list, Probe{pool.target.Address, s.spec.ReportPath, pool.target.Domain, s, name})
+		probes = append(probes, Probe{pool.target.Address, s.spec.ReportPath, pool.target.Domain, s, name})
 	}
-	return list
+	return probes
 }
 
 // Apply applies the load report that the target returned to the probe. Only a response with HTTP status 200 can confirm
--- a/internal/steering/status.go
+++ b/internal/steering/status.go
@@ -66,7 +66,7 @@
 }
 
 func (s *Service) counts() []CountStatus {
-	var list []CountStatus
+	var counts []CountStatus
 	names := s.dispatcher.domains.names()
 	for class, number := range s.classes {
 		for domain, name := range names {
@@ -74,8 +74,8 @@
 			if c.Offered.Load() == 0 {
 				continue
 			}
-			list = append(list, CountStatus{class, name, c.Offered.Load(), c.Admitted.Load(), c.Refused.Load(), c.Weighted.Load()})
+			counts = append(counts, CountStatus{class, name, c.Offered.Load(), c.Admitted.Load(), c.Refused.Load(), c.Weighted.Load()})
 		}
 	}
-	return list
+	return counts
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -175,10 +175,10 @@
 	if len(f.hosts) > 0 {
 		seeds = "[Peers]\nSeeds = " + f.hosts[0].peerRelay.address() + "\n"
 	}
-	text := fmt.Sprintf("[Host]\nName = %s\nDomain = %s\nListen = %s\nInner = %s\nAnnounced = %s\nReady = %s\nDirectory = %s\n"+
+	content := fmt.Sprintf("[Host]\nName = %s\nDomain = %s\nListen = %s\nInner = %s\nAnnounced = %s\nReady = %s\nDirectory = %s\n"+
 		"[Platform]\nKind = Native\nStore = http://%s\nTimeout = 1s\n%s[Limits]\nStopTimeout = %v\nAddressMaxAge = 1s\n",
 		name, domain, p.listen, inner, p.peerRelay.address(), p.ready, p.directory, p.storeRelay.address(), seeds, stopTimeout)
-	f.is.NoErr(os.WriteFile(p.settingsFile, []byte(text), 0o600))
+	f.is.NoErr(os.WriteFile(p.settingsFile, []byte(content), 0o600))
 	f.hosts = append(f.hosts, p)
 }
 
