--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -131,7 +131,8 @@
 	return address.Response{}, ErrNoAddress.New("no entry host answered for service %q (%v); check the seeds", service, lastErr)
 }
 
-// hostsToQuery returns the hosts of the last address answer, followed by all seeds in their order, starting at a random one.
+// hostsToQuery returns the hosts of the last address answer, followed by all seeds in their order, starting at a random
+// one.
 func (c *Client) hostsToQuery(last address.Response) []string {
 	var hosts []string
 	for _, a := range last.Addresses {
