--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -68,22 +68,22 @@
 		return Key{}, ErrInvalidKey.New("Idempotency-Key has %d characters; use 1 to %d", len(value), maxKeyBytes)
 	}
 	if strings.ContainsFunc(value, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		return Key{}, ErrInvalidKey.New("Idempotency-Key contains a space or a non-printable character; use visible ASCII characters")
+		return Key{}, ErrInvalidKey.New("Idempotency-Key holds a space or an unprintable character; use visible ASCII")
 	}
 	if !strings.HasPrefix(value, grantPrefix+".") {
 		return Key{Suffix: value, Plain: true}, nil
 	}
 	parts := strings.SplitN(value, ".", 5)
 	if len(parts) < 5 || parts[1] == "" || parts[4] == "" {
-		return Key{}, ErrInvalidKey.New("Idempotency-Key begins like a grant but is not of the form GRANT.SUFFIX; append a dot and a unique suffix to the Grant of the address response")
+		return Key{}, ErrInvalidKey.New("Idempotency-Key begins like a grant but is not GRANT.SUFFIX; append a dot and your own part to the Grant of the address answer")
 	}
 	incarnation, err := strconv.ParseUint(parts[2], 36, 64)
 	if err != nil {
-		return Key{}, ErrInvalidKey.New("Idempotency-Key has an invalid incarnation; copy the Grant of the address response unchanged")
+		return Key{}, ErrInvalidKey.New("Idempotency-Key names no incarnation; copy the Grant of the address answer unchanged")
 	}
 	issued, err := strconv.ParseInt(parts[3], 36, 64)
 	if err != nil || issued < 0 {
-		return Key{}, ErrInvalidKey.New("Idempotency-Key has an invalid issue time; copy the Grant of the address response unchanged")
+		return Key{}, ErrInvalidKey.New("Idempotency-Key names no issue time; copy the Grant of the address answer unchanged")
 	}
 	return Key{Grant: Grant{parts[1], incarnation, issued}, Suffix: parts[4]}, nil
 }
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -173,7 +173,7 @@
 	remaining := time.Duration(r.RemainingMilliseconds) * time.Millisecond
 	sealedAt := time.Duration(r.SealedAtMilliseconds) * time.Millisecond
 	if !p.host.sealedTables.Add(p.host.now(), claim.ExportedTable{Host: r.Host, Incarnation: r.Incarnation, SealedAt: sealedAt, Retention: remaining, Entries: entries}) {
-		return nil, inner.ErrPeerFailed.New("host %s has no room for the sealed idempotency table of host %s; forward resends of its keys to the next host that holds the table", p.host.Name(), r.Host)
+		return nil, inner.ErrPeerFailed.New("host %s has no room for the table of %s; the next holder is asked", p.host.Name(), r.Host)
 	}
 	return &inner.SealReply{}, nil
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -159,7 +159,7 @@
 			return err
 		}
 	}
-	return inner.ErrPeerFailed.New("host %s dropped a follower of the store that read too slowly; it must follow again from the start", g.settings.Host.Name)
+	return inner.ErrPeerFailed.New("host %s could not keep up; following again from the start", g.settings.Host.Name)
 }
 
 func toFollowReply(u storeUpdate) *inner.FollowStoreReply {
